--- a/src/core/admission/admission-priority.ts
+++ b/src/core/admission/admission-priority.ts
@@ -21,13 +21,13 @@
 }
 
 /** End of the quarter of a request's class; the next class begins there. */
-export function topOfClass({ criticality }: RequestContext): number {
+export function classUpperBound({ criticality }: RequestContext): number {
   const classes = CRITICALITIES.length;
   return (classes - rankOf(criticality)) / classes;
 }
 
 /** Priority below which a share of a request's own class lies. */
-export function shareOfClass(request: RequestContext, share: number): number {
+export function thresholdForClassShare(request: RequestContext, share: number): number {
   const classes = CRITICALITIES.length;
   return (classes - 1 - rankOf(request.criticality) + share) / classes;
 }
--- a/src/core/admission/aged-threshold.ts
+++ b/src/core/admission/aged-threshold.ts
@@ -11,24 +11,24 @@
 /** One threshold with the time when it was heard. */
 export class AgedThreshold {
   private value = 0;
-  private heardAt = -Infinity;
+  private receivedAt = -Infinity;
 
   /** Takes a newer threshold, higher or lower. */
   note(now: number, threshold: number): void {
     this.value = threshold;
-    this.heardAt = now;
+    this.receivedAt = now;
   }
 
   /** Whether it was heard recently enough to hold in full. */
   isFresh(now: number): boolean {
-    return now - this.heardAt <= HOLD_MS;
+    return now - this.receivedAt <= HOLD_MS;
   }
 
   /** The threshold, faded by age. */
   at(now: number): number {
     if (this.value === 0) return 0;
-    const age = now - this.heardAt - HOLD_MS;
-    const faded = age <= 0 ? this.value : this.value * 2 ** (-age / HALF_LIFE_MS);
-    return faded < NEGLIGIBLE ? 0 : faded;
+    const age = now - this.receivedAt - HOLD_MS;
+    const decayed = age <= 0 ? this.value : this.value * 2 ** (-age / HALF_LIFE_MS);
+    return decayed < NEGLIGIBLE ? 0 : decayed;
   }
 }
--- a/src/core/admission/dagor-controller.ts
+++ b/src/core/admission/dagor-controller.ts
@@ -27,7 +27,7 @@
 };
 
 const SMOOTHING_MS = 150;
-const MEMORY_MS = 2_000;
+const RETENTION_MS = 2_000;
 
 /** Stepwise admission threshold of one gate. */
 export class DagorController implements ThresholdController {
@@ -49,7 +49,7 @@
     const elapsed = now - this.intervalStart;
     if (elapsed < this.options.intervalMs) return;
     this.intervalStart = now;
-    this.load.endInterval(elapsed, this.threshold, SMOOTHING_MS, MEMORY_MS);
+    this.load.endInterval(elapsed, this.threshold, SMOOTHING_MS, RETENTION_MS);
     this.step(state);
     this.threshold = this.load.thresholdFor(this.admitted);
   }
--- a/src/core/admission/offered-load-controller.ts
+++ b/src/core/admission/offered-load-controller.ts
@@ -18,9 +18,9 @@
   /** Time constant of the offered load, in milliseconds. */
   readonly smoothingMs: number;
   /** Time constant at which refused load is forgotten, in milliseconds. */
-  readonly memoryMs: number;
+  readonly retentionMs: number;
   /** The same while slots are idle, in milliseconds. */
-  readonly idleMemoryMs: number;
+  readonly idleRetentionMs: number;
   /** Standing wait that engages the threshold, in milliseconds. */
   readonly engageWaitMs: number;
   /** Time that the wait must stand before the threshold engages, in milliseconds. */
@@ -35,8 +35,8 @@
 export const DEFAULT_OFFERED_LOAD_OPTIONS: OfferedLoadOptions = {
   intervalMs: 20,
   smoothingMs: 150,
-  memoryMs: 2_000,
-  idleMemoryMs: 60,
+  retentionMs: 2_000,
+  idleRetentionMs: 60,
   engageWaitMs: 25,
   engageAfterMs: 60,
   queuePerSlot: 0.5,
@@ -52,9 +52,9 @@
   private readonly load = new OfferedLoad();
   private intervalStart: number | undefined;
   private lowestWaitMs = Infinity;
-  private mostIdle = 0;
+  private maxIdleSlots = 0;
   private refused = 0;
-  private waitStandsSince: number | undefined;
+  private standingWaitSince: number | undefined;
 
   constructor(private readonly options: OfferedLoadOptions = DEFAULT_OFFERED_LOAD_OPTIONS) {}
 
@@ -68,7 +68,7 @@
 
   update(now: number, state: GateState): void {
     this.lowestWaitMs = Math.min(this.lowestWaitMs, state.expectedWaitMs);
-    this.mostIdle = Math.max(this.mostIdle, state.limit - state.inFlight);
+    this.maxIdleSlots = Math.max(this.maxIdleSlots, state.limit - state.inFlight);
     this.intervalStart ??= now;
     const elapsed = now - this.intervalStart;
     if (elapsed < this.options.intervalMs) return;
@@ -76,14 +76,14 @@
   }
 
   private endInterval(now: number, elapsed: number, state: GateState): void {
-    const { smoothingMs, memoryMs, idleMemoryMs } = this.options;
-    const idle = state.queued === 0 && this.mostIdle > 0;
-    const memory = idle ? idleMemoryMs : memoryMs;
-    this.load.endInterval(elapsed, this.threshold, smoothingMs, memory);
+    const { smoothingMs, retentionMs, idleRetentionMs } = this.options;
+    const idle = state.queued === 0 && this.maxIdleSlots > 0;
+    const retention = idle ? idleRetentionMs : retentionMs;
+    this.load.endInterval(elapsed, this.threshold, smoothingMs, retention);
     this.threshold = this.isEngaged(now) ? this.computeThreshold(state) : 0;
     this.intervalStart = now;
     this.lowestWaitMs = state.expectedWaitMs;
-    this.mostIdle = state.limit - state.inFlight;
+    this.maxIdleSlots = state.limit - state.inFlight;
     this.refused = 0;
   }
 
@@ -91,11 +91,11 @@
     if (this.threshold > 0) return true;
     const { engageWaitMs, engageAfterMs } = this.options;
     if (this.lowestWaitMs < engageWaitMs) {
-      this.waitStandsSince = undefined;
+      this.standingWaitSince = undefined;
       return false;
     }
-    this.waitStandsSince ??= now;
-    return this.refused > 0 || now - this.waitStandsSince >= engageAfterMs;
+    this.standingWaitSince ??= now;
+    return this.refused > 0 || now - this.standingWaitSince >= engageAfterMs;
   }
 
   private computeThreshold(state: GateState): number {
--- a/src/core/admission/offered-load.ts
+++ b/src/core/admission/offered-load.ts
@@ -25,17 +25,23 @@
    *
    * @param threshold buckets below it keep their load, apart from the decay
    * @param smoothingMs time constant above the threshold
-   * @param memoryMs time constant below the threshold when nothing arrives
+   * @param retentionMs time constant below the threshold when nothing arrives
    */
-  endInterval(elapsedMs: number, threshold: number, smoothingMs: number, memoryMs: number): void {
-    const keep = Math.exp(-elapsedMs / smoothingMs);
-    const keepMemory = Math.exp(-elapsedMs / memoryMs);
+  endInterval(
+    elapsedMs: number,
+    threshold: number,
+    smoothingMs: number,
+    retentionMs: number,
+  ): void {
+    const smoothingFactor = Math.exp(-elapsedMs / smoothingMs);
+    const retentionFactor = Math.exp(-elapsedMs / retentionMs);
     const firstAdmitted = Math.ceil(threshold * BUCKETS);
     for (let bucket = 0; bucket < BUCKETS; bucket += 1) {
       const before = this.smoothed[bucket]!;
-      const fresh = before * keep + (this.interval[bucket]! / elapsedMs) * (1 - keep);
-      const remembered = bucket < firstAdmitted ? before * keepMemory : 0;
-      this.smoothed[bucket] = Math.max(fresh, remembered);
+      const updated =
+        before * smoothingFactor + (this.interval[bucket]! / elapsedMs) * (1 - smoothingFactor);
+      const retained = bucket < firstAdmitted ? before * retentionFactor : 0;
+      this.smoothed[bucket] = Math.max(updated, retained);
       this.interval[bucket] = 0;
     }
   }
--- a/src/core/admission/threshold.test.ts
+++ b/src/core/admission/threshold.test.ts
@@ -57,7 +57,7 @@
 /** Arrivals spread evenly over the priorities; what is below the threshold never comes. */
 class Flow {
   private sequence = 0;
-  private due = 0;
+  private pending = 0;
   private queued = 0;
   now = 0;
 
@@ -72,7 +72,7 @@
 
   private step(multiple: number): void {
     const served = (LIMIT * STEP_MS) / WORK_MS;
-    for (this.due += multiple * served; this.due >= 1; this.due -= 1) this.arrive();
+    for (this.pending += multiple * served; this.pending >= 1; this.pending -= 1) this.arrive();
     this.queued = Math.min(50, Math.max(0, this.queued - served));
     const inFlight = this.queued > 0 ? LIMIT : Math.min(LIMIT, LIMIT * multiple);
     const expectedWaitMs = (this.queued * WORK_MS) / LIMIT;
--- a/src/core/admission/wasted-runs.test.ts
+++ b/src/core/admission/wasted-runs.test.ts
@@ -20,11 +20,11 @@
   runs = new WastedRuns();
 });
 
-function lose(count: number, now = 0): void {
+function noteWastedRuns(count: number, now = 0): void {
   for (let index = 0; index < count; index += 1) runs.note(now, REQUEST);
 }
 
-function refusedOf(count: number, now: number): number {
+function refusedShare(count: number, now: number): number {
   let refused = 0;
   for (let index = 0; index < count; index += 1) {
     if (runs.refuses(now, { ...REQUEST, requestId: `request-${index}` })) refused += 1;
@@ -33,35 +33,35 @@
 }
 
 test('nothing is refused before a run was lost', () => {
-  assert.equal(refusedOf(1_000, 0), 0);
+  assert.equal(refusedShare(1_000, 0), 0);
 });
 
 test('the refused share rises with lost runs, and those requests are the same each time', () => {
-  lose(1);
-  const riseOfOne = runs.shareOf(0, REQUEST);
-  assert.ok(riseOfOne > 0);
-  lose(39);
+  noteWastedRuns(1);
+  const riseOfOneRun = runs.shareOf(0, REQUEST);
+  assert.ok(riseOfOneRun > 0);
+  noteWastedRuns(39);
   const share = runs.shareOf(0, REQUEST);
-  assert.ok(Math.abs(share - 40 * riseOfOne) < 0.001);
-  assert.ok(Math.abs(refusedOf(2_000, 0) - share) < 0.05);
+  assert.ok(Math.abs(share - 40 * riseOfOneRun) < 0.001);
+  assert.ok(Math.abs(refusedShare(2_000, 0) - share) < 0.05);
   const request = { ...REQUEST, requestId: 'one of them' };
   assert.equal(runs.refuses(0, request), runs.refuses(0, request));
 });
 
 test('other kinds, and other classes of the kind, are not refused', () => {
-  lose(90);
+  noteWastedRuns(90);
   assert.equal(runs.shareOf(0, { ...REQUEST, kind: 'other' }), 0);
   assert.equal(runs.shareOf(0, { ...REQUEST, criticality: 'critical' }), 0);
 });
 
 test('the share falls with time, whether requests come or not', () => {
-  lose(90);
+  noteWastedRuns(90);
   const before = runs.shareOf(0, REQUEST);
   assert.ok(runs.shareOf(5_000, REQUEST) < before);
   assert.equal(runs.shareOf(60_000, REQUEST), 0);
 });
 
 test('some requests always find out whether there is room again', () => {
-  lose(10_000);
-  assert.ok(refusedOf(2_000, 0) < 1);
+  noteWastedRuns(10_000);
+  assert.ok(refusedShare(2_000, 0) < 1);
 });
--- a/src/core/admission/wasted-runs.ts
+++ b/src/core/admission/wasted-runs.ts
@@ -36,8 +36,8 @@
   shareOf(now: number, request: RequestContext): number {
     const known = this.shares.get(keyOf(request));
     if (known === undefined) return 0;
-    const fallen = (FALL_PER_SECOND * (now - known.at)) / MS_PER_SECOND;
-    return Math.max(0, known.share - fallen);
+    const decayed = (FALL_PER_SECOND * (now - known.at)) / MS_PER_SECOND;
+    return Math.max(0, known.share - decayed);
   }
 
   /** Whether this request is one of those that are refused now. */
--- a/src/core/limit/gradient-limit.ts
+++ b/src/core/limit/gradient-limit.ts
@@ -40,7 +40,7 @@
 
   onComplete({ latencyMs, outcome, inFlight }: LimitSample): void {
     if (outcome !== 'success' && outcome !== 'timeout') return;
-    this.learn(latencyMs);
+    this.updateLatencies(latencyMs);
     // A limit that is not used says nothing about itself.
     if (inFlight < this.limit / 2) return;
     const gradient = Math.max(0.5, Math.min(1, (TOLERANCE * this.longMs!) / this.shortMs));
@@ -49,7 +49,7 @@
     this.limit = Math.max(1, Math.min(this.options.maxLimit, smoothed));
   }
 
-  private learn(latencyMs: number): void {
+  private updateLatencies(latencyMs: number): void {
     if (this.longMs === undefined) {
       this.longMs = latencyMs;
       this.shortMs = latencyMs;
--- a/src/core/limit/knee-search.ts
+++ b/src/core/limit/knee-search.ts
@@ -80,7 +80,7 @@
     if (this.limits.at(-1) === this.limits[0] || sample.now < this.holdUntil) return;
     const { trial } = this;
     if (trial === undefined) {
-      if (sample.queued) this.begin();
+      if (sample.queued) this.startSearch();
       return;
     }
     if (trial.skip > 0) {
@@ -88,12 +88,12 @@
       return;
     }
     note(trial, sample);
-    const wanted = ANSWERS_PER_SLOT * trial.candidate.limit;
-    if (trial.unsaturated > MAX_UNSATURATED_SHARE * wanted) this.trial = undefined;
-    else if (trial.answers >= wanted) this.endTrial(sample.now);
+    const answersNeeded = ANSWERS_PER_SLOT * trial.candidate.limit;
+    if (trial.unsaturated > MAX_UNSATURATED_SHARE * answersNeeded) this.trial = undefined;
+    else if (trial.answers >= answersNeeded) this.endTrial(sample.now);
   }
 
-  private begin(): void {
+  private startSearch(): void {
     this.candidates = this.limits.map((limit) => ({ limit, byKind: new Map() }));
     this.trialsEnded = 0;
     this.startTrial();
@@ -129,22 +129,23 @@
 function findBest(candidates: readonly Candidate[]): number {
   let best = candidates[0]!;
   for (const candidate of candidates.slice(1)) {
-    if (answerRatio(candidate, best) > MIN_GAIN) best = candidate;
+    if (rateRatio(candidate, best) > MIN_GAIN) best = candidate;
   }
   return best.limit;
 }
 
 /** Requests that `one` answers in the time in which `other` answers one, for the same mix. */
-function answerRatio(one: Candidate, other: Candidate): number {
+function rateRatio(one: Candidate, other: Candidate): number {
   let weight = 0;
-  let slower = 0;
+  let weightedRatio = 0;
   for (const [kind, latency] of one.byKind) {
     const compared = other.byKind.get(kind);
     if (compared === undefined) continue;
     const count = Math.min(latency.count, compared.count);
     if (count < MIN_ANSWERS_PER_KIND) continue;
     weight += count;
-    slower += count * (compared.totalMs / compared.count / (latency.totalMs / latency.count));
+    weightedRatio +=
+      count * (compared.totalMs / compared.count / (latency.totalMs / latency.count));
   }
-  return weight === 0 ? 1 : ((slower / weight) * one.limit) / other.limit;
+  return weight === 0 ? 1 : ((weightedRatio / weight) * one.limit) / other.limit;
 }
--- a/src/core/limit/limit-comparison.test.ts
+++ b/src/core/limit/limit-comparison.test.ts
@@ -24,7 +24,7 @@
 interface Case {
   readonly name: string;
   /** Slots as the operator believes. */
-  readonly knownSlots: number;
+  readonly assumedSlots: number;
   /** Arrivals as a multiple of the capacity without slowdown. */
   readonly load: number;
   readonly slowdownAt: (now: number) => number;
@@ -36,27 +36,27 @@
   readonly refusedShare?: number;
 }
 
-const LITTLE_LOAD = { knownSlots: SLOTS, load: 0.8, slowdownAt: () => 1 };
+const LOW_LOAD = { assumedSlots: SLOTS, load: 0.8, slowdownAt: () => 1 };
 
 const CASES: readonly Case[] = [
-  { name: 'slots known', knownSlots: SLOTS, load: 2, slowdownAt: () => 1 },
-  { name: 'half the slots known', knownSlots: SLOTS / 2, load: 2, slowdownAt: () => 1 },
-  { name: 'twice the slots believed', knownSlots: 2 * SLOTS, load: 2, slowdownAt: () => 1 },
+  { name: 'slots known', assumedSlots: SLOTS, load: 2, slowdownAt: () => 1 },
+  { name: 'half the slots known', assumedSlots: SLOTS / 2, load: 2, slowdownAt: () => 1 },
+  { name: 'twice the slots believed', assumedSlots: 2 * SLOTS, load: 2, slowdownAt: () => 1 },
   {
     name: 'five times slower from 3 s to 6 s',
-    knownSlots: SLOTS,
+    assumedSlots: SLOTS,
     load: 0.8,
     slowdownAt: (now) => (now >= 3_000 && now < 6_000 ? 5 : 1),
   },
   {
     name: 'cold for 4 s',
-    knownSlots: SLOTS,
+    assumedSlots: SLOTS,
     load: 1.5,
     slowdownAt: (now) => Math.max(1, 5 - now / 1_000),
   },
   {
     name: 'refuses, twice the slots believed',
-    knownSlots: 2 * SLOTS,
+    assumedSlots: 2 * SLOTS,
     load: 2,
     slowdownAt: () => 1,
     refusesAbove: 0,
@@ -67,14 +67,14 @@
 const DECLARED_CASES: readonly Case[] = [
   {
     name: 'slows down when full',
-    knownSlots: SLOTS,
+    assumedSlots: SLOTS,
     load: 1.5,
     slowdownAt: () => 1,
     slowdownWhenFull: 1.3,
   },
-  { name: 'slows down when full, little load', ...LITTLE_LOAD, slowdownWhenFull: 1.3 },
-  { name: 'does not slow down', knownSlots: SLOTS, load: 1.5, slowdownAt: () => 1 },
-  { name: 'refuses half whatever its load', ...LITTLE_LOAD, refusedShare: 0.5 },
+  { name: 'slows down when full, little load', ...LOW_LOAD, slowdownWhenFull: 1.3 },
+  { name: 'does not slow down', assumedSlots: SLOTS, load: 1.5, slowdownAt: () => 1 },
+  { name: 'refuses half whatever its load', ...LOW_LOAD, refusedShare: 0.5 },
 ];
 
 const LIMITS: Readonly<Record<string, (options: TargetGateOptions) => ConcurrencyLimit>> = {
@@ -91,7 +91,7 @@
 }
 
 /** One gate before one target. */
-class Bench {
+class GateSimulation {
   private now = 0;
   private readonly events: TimedEvent[] = [];
   private readonly requests = new Map<number, RequestContext>();
@@ -109,7 +109,7 @@
   ) {
     this.random = createRandom(seed);
     const policy = createAdaptivePolicy('bench', { ...ADAPTIVE_PARTS, createLimit });
-    const options = { initialLimit: scenario.knownSlots, maxLimit: 110, seed };
+    const options = { initialLimit: scenario.assumedSlots, maxLimit: 110, seed };
     this.gate = policy.createTargetGate(options);
   }
 
@@ -218,7 +218,7 @@
     Object.fromEntries(
       Object.entries(LIMITS).map(([name, createLimit]) => [
         name,
-        median(SEEDS.map((seed) => new Bench(scenario, createLimit, seed).run())),
+        median(SEEDS.map((seed) => new GateSimulation(scenario, createLimit, seed).run())),
       ]),
     ),
   ]),
@@ -228,7 +228,7 @@
   for (const [name, ratios] of table) {
     t.diagnostic(`${name}: ${JSON.stringify(ratios, (_, value: unknown) => round(value))}`);
   }
-  for (const { name } of CASES.filter((scenario) => scenario.knownSlots >= SLOTS)) {
+  for (const { name } of CASES.filter((scenario) => scenario.assumedSlots >= SLOTS)) {
     assert.ok(table.get(name)!['throughput']! >= 0.95, name);
   }
 });
--- a/src/core/limit/refusal-ceiling.ts
+++ b/src/core/limit/refusal-ceiling.ts
@@ -33,11 +33,11 @@
       this.ceiling = Infinity;
       return;
     }
-    const holds = Math.max(1, inFlight - 1);
-    if (holds >= this.ceiling && now < this.nextStepAt) return;
-    const isNew = now >= this.nextStepAt;
-    this.ceiling = Math.min(this.ceiling, holds);
-    if (isNew) this.pauseMs = Math.min(MAX_PAUSE_MS, 2 * this.pauseMs);
+    const capacity = Math.max(1, inFlight - 1);
+    if (capacity >= this.ceiling && now < this.nextStepAt) return;
+    const pauseEnded = now >= this.nextStepAt;
+    this.ceiling = Math.min(this.ceiling, capacity);
+    if (pauseEnded) this.pauseMs = Math.min(MAX_PAUSE_MS, 2 * this.pauseMs);
     this.nextStepAt = now + this.pauseMs;
   }
 
--- a/src/core/limit/refusal-pattern.ts
+++ b/src/core/limit/refusal-pattern.ts
@@ -7,9 +7,9 @@
 /** Time after which an attempt counts for a third, in milliseconds. */
 const TIME_CONSTANT_MS = 1_000;
 /** Refusals at low load from which they say something. */
-const MIN_REFUSALS = 2;
+const MIN_LOW_LOAD_REFUSALS = 2;
 /** Share of refusals at low load below which they may be steps above what a full target holds. */
-const MIN_SHARE = 0.03;
+const MIN_LOW_LOAD_SHARE = 0.03;
 /** Share of the limit up to which load is low: a target that holds half of it counts as full. */
 const LOW_LOAD_SHARE = 0.5;
 /** At low load a faulty target refuses at least this part of what it refuses at high load. */
@@ -43,7 +43,7 @@
   /** Whether refusals come whatever the load is. */
   get isIndependentOfLoad(): boolean {
     const share = shareOf(this.low);
-    if (this.low.refused < MIN_REFUSALS || share < MIN_SHARE) return false;
+    if (this.low.refused < MIN_LOW_LOAD_REFUSALS || share < MIN_LOW_LOAD_SHARE) return false;
     return share >= MIN_SHARE_RATIO * shareOf(this.high);
   }
 
--- a/src/core/limit/service-time.ts
+++ b/src/core/limit/service-time.ts
@@ -6,7 +6,7 @@
 /** Time constant by which a sample after a long pause weighs more, in milliseconds. */
 const TIME_CONSTANT_MS = 250;
 /** Estimate before any sample, in milliseconds. */
-const UNKNOWN_MS = 10;
+const DEFAULT_ESTIMATE_MS = 10;
 
 interface Estimate {
   meanMs: number;
@@ -29,7 +29,7 @@
 
   /** Mean over all kinds, in milliseconds. */
   mean(): number {
-    return this.overall?.meanMs ?? UNKNOWN_MS;
+    return this.overall?.meanMs ?? DEFAULT_ESTIMATE_MS;
   }
 
   /** Mean of one kind, in milliseconds; `undefined` before its first sample. */
--- a/src/core/limit/throughput-limit.ts
+++ b/src/core/limit/throughput-limit.ts
@@ -28,13 +28,13 @@
 /** Completions per slot in one measurement. */
 const COMPLETIONS_PER_SLOT = 10;
 /** A trial succeeds when throughput follows the limit by at least this share. */
-const FOLLOWS_SHARE = 0.3;
+const MIN_FOLLOW_SHARE = 0.3;
 /** Pause after a failed trial, in milliseconds; it grows with each further one. */
 const FIRST_PAUSE_MS = 1_000;
 const MAX_PAUSE_MS = 30_000;
 const PAUSE_GROWTH = 4;
 /** The same from which a single trial convinces. */
-const CONVINCING_SHARE = 0.9;
+const CLEAR_FOLLOW_SHARE = 0.9;
 /** Trials in a row that must succeed before the limit rises otherwise. */
 const CONFIRMATIONS = 2;
 /** Share of the completions of a measurement at which the queue may be empty. */
@@ -55,7 +55,7 @@
   private baseRate = 0;
   private pauseMs = FIRST_PAUSE_MS;
   private nextTrialAt = -Infinity;
-  private lastUpFailed = false;
+  private lastIncreaseFailed = false;
   private confirmations = 0;
   private readonly ceiling = new RefusalCeiling();
 
@@ -90,11 +90,11 @@
       measurement.startedAt = now;
       return;
     }
-    const wanted = COMPLETIONS_PER_SLOT * this.limit;
+    const completionsNeeded = COMPLETIONS_PER_SLOT * this.limit;
     measurement.completions += 1;
     if (!queued) measurement.unsaturated += 1;
-    if (measurement.unsaturated > MAX_UNSATURATED_SHARE * wanted) this.abandonTrial();
-    else if (measurement.completions >= wanted) this.endMeasurement(now, measurement);
+    if (measurement.unsaturated > MAX_UNSATURATED_SHARE * completionsNeeded) this.abandonTrial();
+    else if (measurement.completions >= completionsNeeded) this.endMeasurement(now, measurement);
   }
 
   private endMeasurement(now: number, { completions, startedAt }: Measurement): void {
@@ -109,28 +109,28 @@
       return;
     }
     const change = this.trialLimit / this.limit - 1;
-    const share = (rate / this.baseRate - 1) / change;
-    if (change > 0) this.endUpTrial(now, share, this.trialLimit);
-    else this.endDownTrial(now, share, this.trialLimit);
+    const followShare = (rate / this.baseRate - 1) / change;
+    if (change > 0) this.endIncreaseTrial(now, followShare, this.trialLimit);
+    else this.endDecreaseTrial(now, followShare, this.trialLimit);
     this.trialLimit = undefined;
   }
 
-  private endUpTrial(now: number, share: number, tried: number): void {
-    this.confirmations = share >= FOLLOWS_SHARE ? this.confirmations + 1 : 0;
-    this.lastUpFailed = this.confirmations === 0;
-    if (this.lastUpFailed) {
+  private endIncreaseTrial(now: number, followShare: number, testedLimit: number): void {
+    this.confirmations = followShare >= MIN_FOLLOW_SHARE ? this.confirmations + 1 : 0;
+    this.lastIncreaseFailed = this.confirmations === 0;
+    if (this.lastIncreaseFailed) {
       this.pause(now);
-    } else if (this.confirmations === CONFIRMATIONS || share >= CONVINCING_SHARE) {
+    } else if (this.confirmations === CONFIRMATIONS || followShare >= CLEAR_FOLLOW_SHARE) {
       this.confirmations = 0;
-      this.limit = tried;
+      this.limit = testedLimit;
       this.pauseMs = FIRST_PAUSE_MS;
     }
   }
 
-  private endDownTrial(now: number, share: number, tried: number): void {
-    this.lastUpFailed = false;
-    if (share >= FOLLOWS_SHARE) this.pause(now);
-    else this.limit = Math.max(this.options.initialLimit, tried);
+  private endDecreaseTrial(now: number, followShare: number, testedLimit: number): void {
+    this.lastIncreaseFailed = false;
+    if (followShare >= MIN_FOLLOW_SHARE) this.pause(now);
+    else this.limit = Math.max(this.options.initialLimit, testedLimit);
   }
 
   private pause(now: number): void {
@@ -141,8 +141,9 @@
   private startTrial(): void {
     const { initialLimit, maxLimit } = this.options;
     const step = Math.max(1, Math.round(TRIAL_SHARE * this.limit));
-    const goesDown = this.limit > initialLimit && (this.lastUpFailed || this.limit === maxLimit);
-    const wanted = goesDown ? this.limit - step : Math.min(maxLimit, this.limit + step);
+    const decreases =
+      this.limit > initialLimit && (this.lastIncreaseFailed || this.limit === maxLimit);
+    const wanted = decreases ? this.limit - step : Math.min(maxLimit, this.limit + step);
     if (wanted !== this.limit) this.trialLimit = wanted;
   }
 
--- a/src/core/policies/adaptive-gate.ts
+++ b/src/core/policies/adaptive-gate.ts
@@ -5,7 +5,11 @@
  *
  * @see docs/design/overload-control.md
  */
-import { admissionPriority, shareOfClass, topOfClass } from '../admission/admission-priority.js';
+import {
+  admissionPriority,
+  thresholdForClassShare,
+  classUpperBound,
+} from '../admission/admission-priority.js';
 import { DownstreamThresholds } from '../admission/downstream-thresholds.js';
 import { WastedRuns } from '../admission/wasted-runs.js';
 import type { ThresholdController } from '../admission/threshold-controller.js';
@@ -39,7 +43,7 @@
  * this, a third of a class: they were admitted a moment ago, and work has been spent on them,
  * which a refusal would waste. With a whole class the requests of callers starve at the gate.
  */
-const DEEP_TOLERANCE = 0.08;
+const NESTED_TOLERANCE = 0.08;
 /** Limit, queue and admission of one target. */
 export class AdaptiveGate implements TargetGate {
   private readonly inFlight = new InFlight();
@@ -67,7 +71,7 @@
     const { controller, queue } = this.options;
     controller.noteOffered(now, admissionPriority(request), waiting.serviceMs);
     this.reserve.note(now, request, waiting.serviceMs);
-    if (this.isUnreachable(now, waiting)) return [this.refuseLate(now, waiting)];
+    if (this.isDeadlineUnreachable(now, waiting)) return [this.refuseLate(now, waiting)];
     const mustDisplace = !this.hasFreeSlot(now, request) && isBelow(waiting, controller.threshold);
     queue.add(waiting);
     if (mustDisplace) return [this.refuseLowest(now, ResultCode.AdmissionRefused)];
@@ -127,19 +131,19 @@
 
   private wastedThreshold(now: number, request: RequestContext): number {
     const share = request.depth === 0 ? this.wastedRuns.shareOf(now, request) : 0;
-    return share === 0 ? 0 : shareOfClass(request, share);
+    return share === 0 ? 0 : thresholdForClassShare(request, share);
   }
 
   private createWaiting(now: number, ticket: number, request: RequestContext): WaitingRequest {
     const serviceMs = this.estimate(request.kind);
     const latestStart = request.deadline - serviceMs;
-    const probes = latestStart <= now && !this.inFlight.hasKind(request.kind);
+    const isProbe = latestStart <= now && !this.inFlight.hasKind(request.kind);
     // A probe finds out whether the service time has come down again.
-    const giveUpAt = probes ? request.deadline : latestStart;
+    const giveUpAt = isProbe ? request.deadline : latestStart;
     return { ticket, request, priority: gatePriority(request), serviceMs, giveUpAt };
   }
 
-  private isUnreachable(now: number, waiting: WaitingRequest): boolean {
+  private isDeadlineUnreachable(now: number, waiting: WaitingRequest): boolean {
     if (waiting.giveUpAt <= now) return true;
     if (this.hasFreeSlot(now, waiting.request)) return false;
     return now + this.expectedWait(this.options.queue.countAhead(waiting)) > waiting.giveUpAt;
@@ -246,6 +250,6 @@
 function gatePriority(request: RequestContext): number {
   const priority = admissionPriority(request);
   if (request.depth === 0) return priority;
-  const tolerated = priority + DEEP_TOLERANCE;
-  return request.committed === true ? Math.max(tolerated, topOfClass(request)) : tolerated;
+  const tolerated = priority + NESTED_TOLERANCE;
+  return request.committed === true ? Math.max(tolerated, classUpperBound(request)) : tolerated;
 }
--- a/src/core/policies/adaptive-router.test.ts
+++ b/src/core/policies/adaptive-router.test.ts
@@ -142,10 +142,13 @@
 });
 
 test('a target that has started again under its id takes its share slowly', () => {
-  const life = (incarnation: string): TargetView => ({ ...createView('t1'), incarnation });
-  const router = createRouter([life('one'), createView('t2')]);
+  const withIncarnation = (incarnation: string): TargetView => ({
+    ...createView('t1'),
+    incarnation,
+  });
+  const router = createRouter([withIncarnation('one'), createView('t2')]);
   const before = pickMany(router, 100, 0);
-  router.updateTargets(1_000, [life('two'), createView('t2')]);
+  router.updateTargets(1_000, [withIncarnation('two'), createView('t2')]);
   const after = pickMany(router, 100, 1_000);
   assert.ok((after['t1'] ?? 0) < before['t1']! / 2, JSON.stringify([before, after]));
 });
--- a/src/core/policies/adaptive-router.ts
+++ b/src/core/policies/adaptive-router.ts
@@ -34,7 +34,7 @@
 }
 
 /** Share of its limit below which a target clearly has room. */
-const ROOM_SHARE = 0.8;
+const SPARE_CAPACITY_SHARE = 0.8;
 
 /** Admission, routing and retries towards one service. */
 export class AdaptiveRouter implements ServiceRouter {
@@ -94,7 +94,7 @@
   decideRetry(now: number, request: RequestContext, state: RetryState): RetryDecision {
     return this.retries.decide(request, state, {
       now,
-      hasRoom: this.hasRoom(now, request),
+      hasSpareCapacity: this.hasSpareCapacity(now, request),
       typicalLatencyMs: this.latency.ofKind(request.kind) ?? 0,
       retryAfterMs: () =>
         Math.max(this.retryAfter.next(now, request.requestId), state.retryAfterMs ?? 0),
@@ -109,9 +109,9 @@
     return lowest === Infinity ? 0 : lowest;
   }
 
-  private hasRoom(now: number, request: RequestContext): boolean {
+  private hasSpareCapacity(now: number, request: RequestContext): boolean {
     const priority = admissionPriority(request);
-    return this.targets.healthy(now).some((target) => isRoomy(now, target, request, priority));
+    return this.targets.healthy(now).some((target) => canTake(now, target, request, priority));
   }
 
   private refuse(now: number, request: RequestContext, code: ResultCode, detail: string): Refusal {
@@ -120,7 +120,7 @@
   }
 }
 
-function isRoomy(
+function canTake(
   now: number,
   target: TargetState,
   request: RequestContext,
@@ -129,5 +129,5 @@
   const report = target.freshReport(now);
   if (report === undefined || report.queued > 0) return false;
   if (target.threshold(now, request.kind) > priority) return false;
-  return target.load(now) < ROOM_SHARE * report.limit;
+  return target.load(now) < SPARE_CAPACITY_SHARE * report.limit;
 }
--- a/src/core/policies/adaptive-variants.ts
+++ b/src/core/policies/adaptive-variants.ts
@@ -55,21 +55,21 @@
 registerOverloadPolicy({
   name: 'adaptive-without-lost-runs',
   createServiceRouter,
-  createTargetGate: (options) => withoutLostRuns(createTargetGate(options)),
+  createTargetGate: (options) => withoutWastedRuns(createTargetGate(options)),
 });
 
-function withoutLostRuns(gate: TargetGate): TargetGate {
-  return { ...forward(gate), noteWastedRun: () => {} };
+function withoutWastedRuns(gate: TargetGate): TargetGate {
+  return { ...wrapGate(gate), noteWastedRun: () => {} };
 }
 
 function withoutFailureShare(gate: TargetGate): TargetGate {
   return {
-    ...forward(gate),
+    ...wrapGate(gate),
     report: (now, request) => ({ ...gate.report(now, request), failureShare: 0 }),
   };
 }
 
-function forward(gate: TargetGate): TargetGate {
+function wrapGate(gate: TargetGate): TargetGate {
   return {
     offer: (now, ticket, request) => gate.offer(now, ticket, request),
     complete: (now, ticket, outcome) => gate.complete(now, ticket, outcome),
--- a/src/core/policies/aimd.ts
+++ b/src/core/policies/aimd.ts
@@ -15,7 +15,7 @@
       limit: new AimdLimit({ initialLimit, maxLimit }),
       queue: new FifoQueue(),
       maxQueued: QUEUED_PER_SLOT * initialLimit,
-      expires: true,
+      refusesAtDeadline: true,
     }),
   createServiceRouter: () => new BaselineRouter(),
 });
--- a/src/core/policies/baseline-router.ts
+++ b/src/core/policies/baseline-router.ts
@@ -41,8 +41,8 @@
   onOutcome(): void {}
 
   decideRetry(_now: number, request: RequestContext, state: RetryState): RetryDecision {
-    const repeatable = request.idempotent || !state.mayHaveRun;
-    if (repeatable && state.attemptsMade <= BASELINE_RETRIES) return { type: 'retry', delayMs: 0 };
+    const mayRetry = request.idempotent || !state.mayHaveRun;
+    if (mayRetry && state.attemptsMade <= BASELINE_RETRIES) return { type: 'retry', delayMs: 0 };
     return { type: 'give-up', refusal: refusal(ResultCode.AttemptsExhausted, 'no retries left') };
   }
 
--- a/src/core/policies/bounded-gate.ts
+++ b/src/core/policies/bounded-gate.ts
@@ -16,7 +16,7 @@
   /** Most requests that may wait. */
   readonly maxQueued: number;
   /** Whether a waiting request is refused at its deadline; else the dispatch is wasted. */
-  readonly expires: boolean;
+  readonly refusesAtDeadline: boolean;
 }
 
 /** Retry time of every refusal of a baseline, in milliseconds. */
@@ -62,7 +62,7 @@
   }
 
   nextTimer(): number | undefined {
-    return this.options.expires ? this.options.queue.earliestGiveUp() : undefined;
+    return this.options.refusesAtDeadline ? this.options.queue.earliestGiveUp() : undefined;
   }
 
   report(): LoadReport {
@@ -81,8 +81,8 @@
   noteWastedRun(): void {}
 
   private drain(now: number): GateAction[] {
-    const { limit, queue, expires } = this.options;
-    const expired: readonly WaitingRequest[] = expires ? queue.takeExpired(now) : [];
+    const { limit, queue, refusesAtDeadline } = this.options;
+    const expired: readonly WaitingRequest[] = refusesAtDeadline ? queue.takeExpired(now) : [];
     const actions: GateAction[] = expired.map(({ ticket }) =>
       refuse(ticket, ResultCode.DeadlineUnreachable, 'deadline passed in the queue'),
     );
--- a/src/core/policies/none.ts
+++ b/src/core/policies/none.ts
@@ -12,7 +12,7 @@
       limit: createFixedLimit(Infinity),
       queue: new FifoQueue(),
       maxQueued: 0,
-      expires: false,
+      refusesAtDeadline: false,
     }),
   createServiceRouter: () => new BaselineRouter(),
 });
--- a/src/core/quarantine/suspect-table.test.ts
+++ b/src/core/quarantine/suspect-table.test.ts
@@ -1,38 +1,39 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { BARRED_ENDS, SuspectTable, type RequestKey, type TargetEnd } from './suspect-table.js';
+import { BARRED_CRASHES, SuspectTable, type RequestKey, type TargetEnd } from './suspect-table.js';
 
 const HOLD_MS = 5_000;
-const BARRED_LIFE_MS = 600_000;
+const BARRED_TTL_MS = 600_000;
 
 function key(content: string, caller = 'front'): RequestKey {
   return { content, caller };
 }
 
-function end(target: string, ...contents: string[]): TargetEnd {
+function crash(target: string, ...contents: string[]): TargetEnd {
   return { target, ageMs: 0, requests: contents.map((content) => key(content)) };
 }
 
 /** A table in which targets ended under a request. */
-function tableWith(fingerprint: string, ends: number): SuspectTable {
+function tableWith(fingerprint: string, crashes: number): SuspectTable {
   const table = new SuspectTable();
-  for (let index = 0; index < ends; index += 1) table.noteEnd(0, end(`t${index}`, fingerprint));
+  for (let index = 0; index < crashes; index += 1)
+    table.noteEnd(0, crash(`t${index}`, fingerprint));
   return table;
 }
 
 test('a request is free after one end, held after two, barred after three', () => {
-  const types = [0, 1, 2, 3, 4].map((ends) => tableWith('a', ends).check(0, key('a')).type);
+  const types = [0, 1, 2, 3, 4].map((crashes) => tableWith('a', crashes).check(0, key('a')).type);
   assert.deepEqual(types, ['free', 'free', 'held', 'barred', 'barred']);
 });
 
 test('other requests are free', () => {
-  assert.equal(tableWith('a', BARRED_ENDS).check(0, key('b')).type, 'free');
+  assert.equal(tableWith('a', BARRED_CRASHES).check(0, key('b')).type, 'free');
 });
 
 test('an end that is heard of again is no second one', () => {
   const table = tableWith('a', 1);
-  assert.deepEqual(table.noteEnd(0, end('t0', 'a', 'b')), [key('b')], 'news for the other');
+  assert.deepEqual(table.noteEnd(0, crash('t0', 'a', 'b')), [key('b')], 'news for the other');
   assert.equal(table.endsOf(key('a')), 1);
 });
 
@@ -53,43 +54,43 @@
 });
 
 test('a barred request is not tried while somebody asks for it', () => {
-  const table = tableWith('a', BARRED_ENDS);
-  for (let now = 0; now < 2 * BARRED_LIFE_MS; now += BARRED_LIFE_MS / 2) {
+  const table = tableWith('a', BARRED_CRASHES);
+  for (let now = 0; now < 2 * BARRED_TTL_MS; now += BARRED_TTL_MS / 2) {
     table.expire(now);
     assert.equal(table.admit(now, key('a')).type, 'barred');
   }
 });
 
 test('a barred request that nobody asks for is forgotten', () => {
-  const table = tableWith('a', BARRED_ENDS);
-  table.expire(BARRED_LIFE_MS + 1);
+  const table = tableWith('a', BARRED_CRASHES);
+  table.expire(BARRED_TTL_MS + 1);
   assert.equal(table.size, 0);
 });
 
 test('a request that was answered is not suspect, however many targets end', () => {
   const table = new SuspectTable();
   table.noteServed(key('popular'));
-  for (let index = 0; index < 10; index += 1) table.noteEnd(0, end(`t${index}`, 'popular', 'x'));
+  for (let index = 0; index < 10; index += 1) table.noteEnd(0, crash(`t${index}`, 'popular', 'x'));
   assert.equal(table.check(0, key('popular')).type, 'free');
   assert.equal(table.check(0, key('x')).type, 'barred');
 });
 
 test('an answer clears a request that was suspect', () => {
-  const table = tableWith('a', BARRED_ENDS);
-  assert.equal(table.noteServed(key('a')), BARRED_ENDS);
+  const table = tableWith('a', BARRED_CRASHES);
+  assert.equal(table.noteServed(key('a')), BARRED_CRASHES);
   assert.equal(table.check(0, key('a')).type, 'free');
   assert.equal(table.size, 0);
 });
 
 test('the number of suspects is bounded, and those with most ends stay', () => {
-  const table = tableWith('cause', BARRED_ENDS);
-  for (let index = 0; index < 5_000; index += 1) table.noteEnd(0, end(`u${index}`, `r${index}`));
+  const table = tableWith('cause', BARRED_CRASHES);
+  for (let index = 0; index < 5_000; index += 1) table.noteEnd(0, crash(`u${index}`, `r${index}`));
   assert.ok(table.size <= 1_024);
   assert.equal(table.check(0, key('cause')).type, 'barred');
 });
 
 test('what nodes have seen adds up to the same, in whatever order and how often they hear it', () => {
-  const ends = fc.array(
+  const crashes = fc.array(
     fc.record({
       target: fc.constantFrom('t0', 't1', 't2', 't3'),
       requests: fc.array(
@@ -103,12 +104,12 @@
     { maxLength: 12 },
   );
   fc.assert(
-    fc.property(ends, fc.integer(), (heard, seed) => {
-      const shuffled = [...heard, ...heard].sort(
+    fc.property(crashes, fc.integer(), (received, seed) => {
+      const shuffled = [...received, ...received].sort(
         (one, other) => (one.target.length + seed) % 3 || other.target.localeCompare(one.target),
       );
       const [first, second, third] = [new SuspectTable(), new SuspectTable(), new SuspectTable()];
-      for (const one of heard) first.noteEnd(0, { ...one, ageMs: 0 });
+      for (const one of received) first.noteEnd(0, { ...one, ageMs: 0 });
       for (const one of shuffled) second.noteEnd(0, { ...one, ageMs: 0 });
       for (const one of first.ends(0)) third.noteEnd(0, one);
       for (const content of ['a', 'b', 'c']) {
--- a/src/core/quarantine/suspect-table.ts
+++ b/src/core/quarantine/suspect-table.ts
@@ -47,18 +47,18 @@
 /** Ends after which a request is run again only now and then. */
 export const HELD_ENDS = 2;
 /** Ends after which a request is not run any more. */
-export const BARRED_ENDS = 3;
+export const BARRED_CRASHES = 3;
 
 /** Pause before a held request is tried again: most targets are back after it, in milliseconds. */
 const HOLD_MS = 5_000;
 /** Told to callers of a barred request, in milliseconds. */
 const BARRED_RETRY_MS = 30_000;
 /** Life of the suspicion of a request that is not barred, in milliseconds. */
-const SUSPECT_LIFE_MS = 60_000;
+const SUSPECT_TTL_MS = 60_000;
 /** A barred request is forgotten when nobody has asked for it for this long, in milliseconds. */
-const BARRED_LIFE_MS = 600_000;
+const BARRED_TTL_MS = 600_000;
 /** Ends that are kept of one content; more change nothing. */
-const MAX_ENDS = 8;
+const MAX_CRASHES = 8;
 /** Requests that are remembered as suspect. */
 const MAX_SUSPECTS = 1_024;
 /** Requests that are remembered as answered. */
@@ -66,7 +66,7 @@
 const FREE: Verdict = { type: 'free' };
 
 /** An end of a target, as one suspect sees it. */
-interface SuspectedEnd {
+interface SuspectedCrash {
   /** Local monotonic time. */
   readonly at: number;
   readonly callers: Set<string>;
@@ -75,13 +75,13 @@
 /** All requests of one content. */
 interface Suspect {
   /** By life of target. */
-  readonly ends: Map<string, SuspectedEnd>;
+  readonly crashes: Map<string, SuspectedCrash>;
   /** Local monotonic time of the last end or trial. */
-  triedAt: number;
+  lastCrashOrTrialAt: number;
   /** Local monotonic time of the last trial at the target beside this node. */
-  ranAt: number;
+  lastLocalTrialAt: number;
   /** Local monotonic time at which somebody last asked for the request. */
-  askedAt: number;
+  lastRequestedAt: number;
 }
 
 /** See the module comment. */
@@ -97,8 +97,8 @@
   /** Contents that are held or barred for some caller. */
   get quarantined(): number {
     let count = 0;
-    for (const [content, { ends }] of this.suspects) {
-      const callers = new Set([...ends.values()].flatMap((end) => [...end.callers]));
+    for (const [content, { crashes }] of this.suspects) {
+      const callers = new Set([...crashes.values()].flatMap((crash) => [...crash.callers]));
       if ([...callers].some((caller) => this.endsOf({ content, caller }) >= HELD_ENDS)) count += 1;
     }
     return count;
@@ -112,7 +112,7 @@
   noteEnd(now: number, { target, ageMs, requests }: TargetEnd): readonly RequestKey[] {
     return requests.filter((request) => {
       if (this.isServed(request)) return false;
-      return this.addEnd(now, request, target, now - ageMs);
+      return this.addCrash(now, request, target, now - ageMs);
     });
   }
 
@@ -122,13 +122,13 @@
    * @returns how many ends it was suspected of
    */
   noteServed(request: RequestKey): number {
-    const ends = this.endsOf(request);
+    const crashes = this.endsOf(request);
     this.served.note(request.content, request.caller);
     const suspect = this.suspects.get(request.content);
     if (suspect !== undefined && this.isCleared(request.content, suspect)) {
       this.suspects.delete(request.content);
     }
-    return ends;
+    return crashes;
   }
 
   /** Whether a target has answered the request lately. */
@@ -138,7 +138,7 @@
 
   /** Ends that the request is suspected of. */
   endsOf(request: RequestKey): number {
-    return this.countedEnds(request).length;
+    return this.countedCrashes(request).length;
   }
 
   /** Whether a request that is admitted now is a trial, which only one target may run. */
@@ -151,13 +151,13 @@
    * until the same time, so that their trials come at once; all but the first are refused here.
    */
   admitRun(now: number, request: RequestKey): Verdict {
-    const ends = this.countedEnds(request);
+    const crashes = this.countedCrashes(request);
     const suspect = this.suspects.get(request.content);
-    if (suspect === undefined || ends.length < HELD_ENDS) return FREE;
-    const holdLeftMs = suspect.ranAt + HOLD_MS - now;
-    if (ends.length >= BARRED_ENDS) return refused('barred', now, ends, BARRED_RETRY_MS);
-    if (holdLeftMs > 0) return refused('held', now, ends, holdLeftMs);
-    suspect.ranAt = now;
+    if (suspect === undefined || crashes.length < HELD_ENDS) return FREE;
+    const holdLeftMs = suspect.lastLocalTrialAt + HOLD_MS - now;
+    if (crashes.length >= BARRED_CRASHES) return refused('barred', now, crashes, BARRED_RETRY_MS);
+    if (holdLeftMs > 0) return refused('held', now, crashes, holdLeftMs);
+    suspect.lastLocalTrialAt = now;
     return FREE;
   }
 
@@ -165,92 +165,92 @@
   admit(now: number, request: RequestKey): Verdict {
     const suspect = this.suspects.get(request.content);
     if (suspect === undefined) return FREE;
-    suspect.askedAt = now;
+    suspect.lastRequestedAt = now;
     const verdict = this.check(now, request);
-    if (verdict.type === 'free') suspect.triedAt = now;
+    if (verdict.type === 'free') suspect.lastCrashOrTrialAt = now;
     return verdict;
   }
 
   /** As {@link SuspectTable.admit}, without counting as a trial. */
   check(now: number, request: RequestKey): Verdict {
-    const ends = this.countedEnds(request);
-    const triedAt = this.suspects.get(request.content)?.triedAt ?? -Infinity;
-    const holdLeftMs = triedAt + HOLD_MS - now;
-    const isBarred = ends.length >= BARRED_ENDS;
-    if (!isBarred && (ends.length < HELD_ENDS || holdLeftMs <= 0)) return FREE;
+    const crashes = this.countedCrashes(request);
+    const lastCrashOrTrialAt = this.suspects.get(request.content)?.lastCrashOrTrialAt ?? -Infinity;
+    const holdLeftMs = lastCrashOrTrialAt + HOLD_MS - now;
+    const isBarred = crashes.length >= BARRED_CRASHES;
+    if (!isBarred && (crashes.length < HELD_ENDS || holdLeftMs <= 0)) return FREE;
     return isBarred
-      ? refused('barred', now, ends, BARRED_RETRY_MS)
-      : refused('held', now, ends, holdLeftMs);
+      ? refused('barred', now, crashes, BARRED_RETRY_MS)
+      : refused('held', now, crashes, holdLeftMs);
   }
 
   /** All ends that are remembered, for a node that hears of them for the first time. */
   ends(now: number): readonly TargetEnd[] {
     const byTarget = new Map<string, { ageMs: number; requests: RequestKey[] }>();
-    for (const [content, { ends }] of this.suspects) {
-      for (const [target, { at, callers }] of ends) {
+    for (const [content, { crashes }] of this.suspects) {
+      for (const [target, { at, callers }] of crashes) {
         const known = byTarget.get(target) ?? { ageMs: now - at, requests: [] };
         for (const caller of callers) known.requests.push({ content, caller });
         byTarget.set(target, known);
       }
     }
-    return [...byTarget].map(([target, end]) => ({ target, ...end }));
+    return [...byTarget].map(([target, crash]) => ({ target, ...crash }));
   }
 
   /** Forgets what is too old. */
   expire(now: number): void {
-    for (const [content, { ends, triedAt, askedAt }] of this.suspects) {
-      const isBarred = ends.size >= BARRED_ENDS;
-      const idleMs = now - Math.max(isBarred ? askedAt : -Infinity, triedAt);
-      if (idleMs > (isBarred ? BARRED_LIFE_MS : SUSPECT_LIFE_MS)) this.suspects.delete(content);
+    for (const [content, { crashes, lastCrashOrTrialAt, lastRequestedAt }] of this.suspects) {
+      const isBarred = crashes.size >= BARRED_CRASHES;
+      const idleMs = now - Math.max(isBarred ? lastRequestedAt : -Infinity, lastCrashOrTrialAt);
+      if (idleMs > (isBarred ? BARRED_TTL_MS : SUSPECT_TTL_MS)) this.suspects.delete(content);
     }
   }
 
-  private countedEnds(request: RequestKey): readonly (readonly [string, SuspectedEnd])[] {
+  private countedCrashes(request: RequestKey): readonly (readonly [string, SuspectedCrash])[] {
     const suspect = this.suspects.get(request.content);
     if (suspect === undefined || this.isServed(request)) return [];
-    const ends = [...suspect.ends];
-    if (!this.served.hasAny(request.content)) return ends;
-    return ends.filter(([, { callers }]) => callers.has(request.caller));
+    const crashes = [...suspect.crashes];
+    if (!this.served.hasAny(request.content)) return crashes;
+    return crashes.filter(([, { callers }]) => callers.has(request.caller));
   }
 
   /** Whether all callers under whose requests targets ended have been answered since. */
-  private isCleared(content: string, { ends }: Suspect): boolean {
-    return [...ends.values()].every(({ callers }) =>
+  private isCleared(content: string, { crashes }: Suspect): boolean {
+    return [...crashes.values()].every(({ callers }) =>
       [...callers].every((caller) => this.served.has(content, caller)),
     );
   }
 
-  private addEnd(now: number, request: RequestKey, target: string, at: number): boolean {
+  private addCrash(now: number, request: RequestKey, target: string, at: number): boolean {
     const { content, caller } = request;
-    const suspect = this.suspects.get(content) ?? this.add(now, content);
-    const known = suspect.ends.get(target);
+    const suspect = this.suspects.get(content) ?? this.addSuspect(now, content);
+    const known = suspect.crashes.get(target);
     if (known?.callers.has(caller) === true) return false;
-    if (known === undefined && suspect.ends.size >= MAX_ENDS) return false;
-    if (known === undefined) suspect.ends.set(target, { at, callers: new Set([caller]) });
+    if (known === undefined && suspect.crashes.size >= MAX_CRASHES) return false;
+    if (known === undefined) suspect.crashes.set(target, { at, callers: new Set([caller]) });
     else known.callers.add(caller);
-    suspect.triedAt = Math.max(suspect.triedAt, at);
+    suspect.lastCrashOrTrialAt = Math.max(suspect.lastCrashOrTrialAt, at);
     return true;
   }
 
-  private add(now: number, content: string): Suspect {
-    if (this.suspects.size >= MAX_SUSPECTS) this.dropOne();
+  private addSuspect(now: number, content: string): Suspect {
+    if (this.suspects.size >= MAX_SUSPECTS) this.evictOne();
     const suspect = {
-      ends: new Map<string, SuspectedEnd>(),
-      triedAt: -Infinity,
-      ranAt: -Infinity,
-      askedAt: now,
+      crashes: new Map<string, SuspectedCrash>(),
+      lastCrashOrTrialAt: -Infinity,
+      lastLocalTrialAt: -Infinity,
+      lastRequestedAt: now,
     };
     this.suspects.set(content, suspect);
     return suspect;
   }
 
   /** The oldest of those with the fewest ends. */
-  private dropOne(): void {
+  private evictOne(): void {
     let dropped: string | undefined;
-    let fewest = Infinity;
-    for (const [content, { ends }] of this.suspects) {
-      if (ends.size >= fewest) continue;
-      fewest = ends.size;
+    let fewestCrashes = Infinity;
+    for (const [content, { crashes }] of this.suspects) {
+      if (crashes.size >= fewestCrashes) continue;
+      fewestCrashes = crashes.size;
       dropped = content;
     }
     if (dropped !== undefined) this.suspects.delete(dropped);
@@ -260,13 +260,13 @@
 function refused(
   type: 'held' | 'barred',
   now: number,
-  ends: readonly (readonly [string, SuspectedEnd])[],
+  crashes: readonly (readonly [string, SuspectedCrash])[],
   retryAfterMs: number,
 ): Verdict {
   return {
     type,
-    targets: ends.map(([target]) => target),
-    ageMs: now - Math.min(...ends.map(([, { at }]) => at)),
+    targets: crashes.map(([target]) => target),
+    ageMs: now - Math.min(...crashes.map(([, { at }]) => at)),
     retryAfterMs,
   };
 }
--- a/src/core/queue/criticality-queue.ts
+++ b/src/core/queue/criticality-queue.ts
@@ -37,7 +37,7 @@
   takeNext(now: number): WaitingRequest | undefined {
     if (this.count === 0) return undefined;
     const first = this.levels.findIndex((sorted) => sorted.length > 0);
-    const urgent = isNested(first) ? this.takeUrgent(now, first + 1) : undefined;
+    const urgent = isNestedLevel(first) ? this.takeUrgent(now, first + 1) : undefined;
     if (urgent !== undefined) return urgent;
     this.count -= 1;
     return this.levels[first]!.shift();
@@ -103,7 +103,7 @@
 }
 
 /** Whether a level holds calls of other services; that of callers' requests follows it. */
-function isNested(level: number): boolean {
+function isNestedLevel(level: number): boolean {
   return level % 2 === 0;
 }
 
--- a/src/core/quota/quota-counter.ts
+++ b/src/core/quota/quota-counter.ts
@@ -36,12 +36,12 @@
   /** Time up to which tokens have been added. */
   filledAt: number;
   /** Time at which there is room for the next request of those that were refused. */
-  nextTurnAt: number;
+  nextRetryAt: number;
 }
 
 const MS_PER_SECOND = 1_000;
 /** Share of a bucket that is kept for requests that wait. */
-const KEPT_FOR_WAITING = 0.5;
+const WAITING_RESERVE_SHARE = 0.5;
 /** A bucket holds at least this many requests, or small tenants could make none. */
 const MIN_BURST = 1;
 /** Longest time after which refused callers are told to come back, in milliseconds. */
@@ -55,20 +55,21 @@
 
   /** Grants what there is room for. */
   grant(now: number, request: QuotaRequest, limit: QuotaLimit): QuotaGrant {
-    const bucket = this.fill(now, request, limit);
+    const bucket = this.refill(now, request, limit);
     const forWaiting = Math.min(request.waiting, Math.floor(bucket.tokens));
     bucket.tokens -= forWaiting;
-    const forLater = forWaiting < request.waiting ? 0 : spareTokens(bucket, request.ahead, limit);
-    bucket.tokens -= forLater;
+    const forExpected =
+      forWaiting < request.waiting ? 0 : spareTokens(bucket, request.ahead, limit);
+    bucket.tokens -= forExpected;
     const refused = request.waiting - forWaiting;
-    const retryAfterMs = refused === 0 ? 0 : reserveTurns(bucket, now, refused, limit);
-    return { tenant: request.tenant, granted: forWaiting + forLater, retryAfterMs };
+    const retryAfterMs = refused === 0 ? 0 : scheduleRetries(bucket, now, refused, limit);
+    return { tenant: request.tenant, granted: forWaiting + forExpected, retryAfterMs };
   }
 
-  private fill(now: number, { tenant, returned }: QuotaRequest, limit: QuotaLimit): Bucket {
+  private refill(now: number, { tenant, returned }: QuotaRequest, limit: QuotaLimit): Bucket {
     let bucket = this.buckets.get(tenant);
     if (bucket === undefined) {
-      bucket = { tokens: 0, filledAt: this.startedAt, nextTurnAt: now };
+      bucket = { tokens: 0, filledAt: this.startedAt, nextRetryAt: now };
       this.buckets.set(tenant, bucket);
     }
     const added = ((now - bucket.filledAt) * limit.requestsPerSecond) / MS_PER_SECOND;
@@ -80,11 +81,11 @@
 }
 
 function spareTokens({ tokens }: Bucket, wanted: number, { burst }: QuotaLimit): number {
-  return Math.max(0, Math.min(wanted, Math.floor(tokens - burst * KEPT_FOR_WAITING)));
+  return Math.max(0, Math.min(wanted, Math.floor(tokens - burst * WAITING_RESERVE_SHARE)));
 }
 
 /** Each refused request gets a turn of its own, so that callers do not come back together. */
-function reserveTurns(
+function scheduleRetries(
   bucket: Bucket,
   now: number,
   refused: number,
@@ -92,6 +93,6 @@
 ): number {
   const spanMs = (refused * MS_PER_SECOND) / requestsPerSecond;
   const last = now + MAX_RETRY_AFTER_MS;
-  bucket.nextTurnAt = Math.min(last, Math.max(now, bucket.nextTurnAt) + spanMs);
-  return bucket.nextTurnAt - now;
+  bucket.nextRetryAt = Math.min(last, Math.max(now, bucket.nextRetryAt) + spanMs);
+  return bucket.nextRetryAt - now;
 }
--- a/src/core/quota/quota-share.test.ts
+++ b/src/core/quota/quota-share.test.ts
@@ -7,7 +7,12 @@
 import fc from 'fast-check';
 import { createRandom, type Random } from '../random.js';
 import { QuotaCounter, type QuotaLimit } from './quota-counter.js';
-import { grantLifeMs, QuotaShare, type QuotaAllowance, type QuotaDecision } from './quota-share.js';
+import {
+  grantLifetimeMs,
+  QuotaShare,
+  type QuotaAllowance,
+  type QuotaDecision,
+} from './quota-share.js';
 
 const ALLOWANCE: QuotaAllowance = { windowMs: 5_000, overshoot: 0.1, slack: 20 };
 const LIMIT: QuotaLimit = { requestsPerSecond: 40, burst: 40 };
@@ -49,13 +54,13 @@
 
 test('a grant ends by itself, counted from the question, and goes back', () => {
   const { share, pass, now } = createShare();
-  const lifeMs = grantLifeMs(LIMIT, ALLOWANCE);
+  const lifetimeMs = grantLifetimeMs(LIMIT, ALLOWANCE);
   share.admit('t', LIMIT, () => {});
   share.createRequests();
-  const askedAt = now();
-  pass(lifeMs / 2);
-  share.onGrants([{ tenant: 't', granted: 4, retryAfterMs: 0 }], askedAt);
-  pass(lifeMs / 2);
+  const requestedAt = now();
+  pass(lifetimeMs / 2);
+  share.onGrants([{ tenant: 't', granted: 4, retryAfterMs: 0 }], requestedAt);
+  pass(lifetimeMs / 2);
   let decided = false;
   share.admit('t', LIMIT, () => (decided = true));
   assert.equal(decided, false);
@@ -67,9 +72,9 @@
   const decisions: string[] = [];
   share.admit('t', LIMIT, ({ type }) => decisions.push(type));
   share.createRequests();
-  const askedAt = now();
+  const requestedAt = now();
   pass(10_000);
-  share.onGrants([{ tenant: 't', granted: 1, retryAfterMs: 0 }], askedAt);
+  share.onGrants([{ tenant: 't', granted: 1, retryAfterMs: 0 }], requestedAt);
   assert.deepEqual(decisions, ['uncounted']);
 });
 
@@ -111,26 +116,30 @@
 test('grants live longer where the allowance is large for the rate, and never beyond it', () => {
   for (const requestsPerSecond of [1, 5, 20, 100, 1_000]) {
     const limit = { requestsPerSecond, burst: requestsPerSecond };
-    const lifeMs = grantLifeMs(limit, ALLOWANCE);
+    const lifetimeMs = grantLifetimeMs(limit, ALLOWANCE);
     const perWindow = requestsPerSecond * 5 + limit.burst;
-    const used = perWindow + (lifeMs * requestsPerSecond) / MS_PER_SECOND;
-    assert.ok(lifeMs >= 400 && lifeMs <= 3_000, `${lifeMs}`);
+    const used = perWindow + (lifetimeMs * requestsPerSecond) / MS_PER_SECOND;
+    assert.ok(lifetimeMs >= 400 && lifetimeMs <= 3_000, `${lifetimeMs}`);
     assert.ok(used <= perWindow * 1.1 + 20);
   }
 });
 
 /** One node of the played fleet. */
-interface PlayedNode {
+interface SimulatedNode {
   readonly share: QuotaShare;
-  connectedFrom: number;
+  disconnectedUntil: number;
 }
 
-interface Play {
+interface Scenario {
   readonly seed: number;
   readonly nodes: number;
   /** Requests a second of all nodes, as a multiple of the limit. */
   readonly load: number;
-  readonly cuts: readonly { readonly node: number; readonly at: number; readonly forMs: number }[];
+  readonly partitions: readonly {
+    readonly node: number;
+    readonly at: number;
+    readonly forMs: number;
+  }[];
   readonly restarts: readonly number[];
 }
 
@@ -140,14 +149,14 @@
 }
 
 const STEP_MS = 5;
-const PLAY_MS = 14_000;
+const DURATION_MS = 14_000;
 /** Longest way of a message, in milliseconds. */
 const MAX_DELAY_MS = 12;
-const QUESTION_INTERVAL_MS = 20;
-const LOST_AFTER_MS = 300;
+const REQUEST_INTERVAL_MS = 20;
+const REPLY_TIMEOUT_MS = 300;
 
 /** Plays a fleet; returns the times of admitted requests, and how many were not. */
-function playFleet({ seed, nodes, load, cuts, restarts }: Play): {
+function simulateFleet({ seed, nodes, load, partitions, restarts }: Scenario): {
   readonly admitted: readonly number[];
   readonly denied: number;
 } {
@@ -157,40 +166,40 @@
   const admitted: number[] = [];
   let denied = 0;
   const network: Message[] = [];
-  const post = (deliver: () => void): void => {
+  const send = (deliver: () => void): void => {
     network.push({ at: now + 1 + random.next() * MAX_DELAY_MS, deliver });
   };
-  const fleet: PlayedNode[] = Array.from({ length: nodes }, () => ({
+  const fleet: SimulatedNode[] = Array.from({ length: nodes }, () => ({
     share: new QuotaShare(
       () => now,
       () => ALLOWANCE,
     ),
-    connectedFrom: 0,
+    disconnectedUntil: 0,
   }));
-  const askedAt = fleet.map(() => -Infinity);
-  const ask = (index: number): void => {
-    const { share, connectedFrom } = fleet[index]!;
-    if (now - askedAt[index]! < LOST_AFTER_MS && askedAt[index] !== -Infinity) return;
-    if (askedAt[index] !== -Infinity) share.onNoAnswer();
-    askedAt[index] = -Infinity;
+  const sentAt = fleet.map(() => -Infinity);
+  const sendRequest = (index: number): void => {
+    const { share, disconnectedUntil } = fleet[index]!;
+    if (now - sentAt[index]! < REPLY_TIMEOUT_MS && sentAt[index] !== -Infinity) return;
+    if (sentAt[index] !== -Infinity) share.onNoAnswer();
+    sentAt[index] = -Infinity;
     const requests = share.createRequests();
     if (requests.length === 0) return;
-    const questionAt = now;
-    askedAt[index] = questionAt;
-    if (now < connectedFrom) return;
-    post(() => {
+    const requestedAt = now;
+    sentAt[index] = requestedAt;
+    if (now < disconnectedUntil) return;
+    send(() => {
       const grants = requests.map((request) => counter.grant(now, request, LIMIT));
-      if (now < fleet[index]!.connectedFrom) return;
-      post(() => {
-        if (askedAt[index] !== questionAt) return;
-        askedAt[index] = -Infinity;
-        share.onGrants(grants, questionAt);
+      if (now < fleet[index]!.disconnectedUntil) return;
+      send(() => {
+        if (sentAt[index] !== requestedAt) return;
+        sentAt[index] = -Infinity;
+        share.onGrants(grants, requestedAt);
       });
     });
   };
-  for (; now < PLAY_MS; now += STEP_MS) {
-    for (const { node, at, forMs } of cuts) {
-      if (at >= now && at < now + STEP_MS) fleet[node % nodes]!.connectedFrom = now + forMs;
+  for (; now < DURATION_MS; now += STEP_MS) {
+    for (const { node, at, forMs } of partitions) {
+      if (at >= now && at < now + STEP_MS) fleet[node % nodes]!.disconnectedUntil = now + forMs;
     }
     if (restarts.some((at) => at >= now && at < now + STEP_MS)) counter = new QuotaCounter(now);
     for (const message of network.splice(0)) {
@@ -208,14 +217,14 @@
     }
     fleet.forEach(({ share }, index) => {
       share.endWaits();
-      if (now % QUESTION_INTERVAL_MS === 0 || share.isWaiting) ask(index);
+      if (now % REQUEST_INTERVAL_MS === 0 || share.isWaiting) sendRequest(index);
     });
   }
   return { admitted, denied };
 }
 
 /** Most requests in any window. */
-function busiestWindow(times: readonly number[]): number {
+function maxPerWindow(times: readonly number[]): number {
   let first = 0;
   let most = 0;
   times.forEach((time, index) => {
@@ -231,22 +240,22 @@
   ALLOWANCE.slack;
 
 test('no window holds more than the bound, whatever is cut off or restarted', () => {
-  const play = fc.record({
+  const scenario = fc.record({
     seed: fc.nat(),
     nodes: fc.integer({ min: 1, max: 12 }),
     load: fc.double({ min: 0.5, max: 6, noNaN: true }),
-    cuts: fc.array(
+    partitions: fc.array(
       fc.record({
         node: fc.nat(11),
-        at: fc.nat(PLAY_MS),
+        at: fc.nat(DURATION_MS),
         forMs: fc.integer({ min: 50, max: 6_000 }),
       }),
       { maxLength: 8 },
     ),
-    restarts: fc.array(fc.nat(PLAY_MS), { maxLength: 4 }),
+    restarts: fc.array(fc.nat(DURATION_MS), { maxLength: 4 }),
   });
   fc.assert(
-    fc.property(play, (played) => busiestWindow(playFleet(played).admitted) <= BOUND),
+    fc.property(scenario, (generated) => maxPerWindow(simulateFleet(generated).admitted) <= BOUND),
     { seed: 0x5eed, numRuns: 60 },
   );
 });
@@ -254,7 +263,7 @@
 test('nobody within the limit is refused while all are connected', () => {
   fc.assert(
     fc.property(fc.nat(), fc.integer({ min: 1, max: 12 }), (seed, nodes) => {
-      const { denied } = playFleet({ seed, nodes, load: 0.6, cuts: [], restarts: [] });
+      const { denied } = simulateFleet({ seed, nodes, load: 0.6, partitions: [], restarts: [] });
       return denied === 0;
     }),
     { seed: 0x5eed, numRuns: 30 },
@@ -262,7 +271,7 @@
 });
 
 test('a tenant far over its limit gets nearly the whole of it', () => {
-  const { admitted } = playFleet({ seed: 7, nodes: 8, load: 6, cuts: [], restarts: [] });
-  const owed = (LIMIT.requestsPerSecond * PLAY_MS) / MS_PER_SECOND + LIMIT.burst;
-  assert.ok(admitted.length >= 0.95 * owed, `${admitted.length} of ${owed}`);
+  const { admitted } = simulateFleet({ seed: 7, nodes: 8, load: 6, partitions: [], restarts: [] });
+  const allowed = (LIMIT.requestsPerSecond * DURATION_MS) / MS_PER_SECOND + LIMIT.burst;
+  assert.ok(admitted.length >= 0.95 * allowed, `${admitted.length} of ${allowed}`);
 });
--- a/src/core/quota/quota-share.ts
+++ b/src/core/quota/quota-share.ts
@@ -8,7 +8,7 @@
 export interface QuotaToken {
   readonly tenant: string;
   /** Time before which it was not granted. */
-  readonly askedAt: number;
+  readonly requestedAt: number;
 }
 
 /** Whether a request may be made. */
@@ -23,11 +23,11 @@
 export type OnQuotaDecision = (decision: QuotaDecision) => void;
 
 interface Batch {
-  readonly askedAt: number;
+  readonly requestedAt: number;
   count: number;
 }
 
-interface Waiting {
+interface WaitingRequest {
   readonly since: number;
   readonly onDecision: OnQuotaDecision;
 }
@@ -35,9 +35,9 @@
 interface Share {
   limit: QuotaLimit;
   readonly batches: Batch[];
-  readonly waiting: Waiting[];
+  readonly waiting: WaitingRequest[];
   /** How many of those that wait the question under way is about. */
-  asked: number;
+  requestedCount: number;
   returned: number;
   readonly demand: DemandMeter;
 }
@@ -61,19 +61,19 @@
 /** Part of the allowance that is used. */
 const ALLOWANCE_SHARE = 0.8;
 /** Longest life of a grant, in milliseconds. */
-const MAX_GRANT_LIFE_MS = 3_000;
+const MAX_GRANT_LIFETIME_MS = 3_000;
 
 /**
  * Life of a grant, in milliseconds. A window of length W holds grants of W and of one life before it: at
  * the rate of the limit, as many more as the allowance covers.
  */
-export function grantLifeMs(limit: QuotaLimit, allowance: QuotaAllowance): number {
+export function grantLifetimeMs(limit: QuotaLimit, allowance: QuotaAllowance): number {
   const { requestsPerSecond, burst } = limit;
   const { windowMs, overshoot, slack } = allowance;
   const perWindow = (requestsPerSecond * windowMs) / MS_PER_SECOND + burst;
-  const beyond = overshoot * perWindow + slack;
-  const lifeMs = (ALLOWANCE_SHARE * beyond * MS_PER_SECOND) / requestsPerSecond;
-  return Math.min(MAX_GRANT_LIFE_MS, lifeMs);
+  const allowedExcess = overshoot * perWindow + slack;
+  const lifetimeMs = (ALLOWANCE_SHARE * allowedExcess * MS_PER_SECOND) / requestsPerSecond;
+  return Math.min(MAX_GRANT_LIFETIME_MS, lifetimeMs);
 }
 
 /** See the module comment. */
@@ -101,10 +101,10 @@
   admit(tenant: string, limit: QuotaLimit, onDecision: OnQuotaDecision): () => void {
     const share = this.shareOf(tenant, limit);
     share.demand.note(this.now());
-    const batch = this.firstLiving(share);
+    const batch = this.firstValidBatch(share);
     if (batch !== undefined) {
       batch.count -= 1;
-      onDecision({ type: 'granted', token: { tenant, askedAt: batch.askedAt } });
+      onDecision({ type: 'granted', token: { tenant, requestedAt: batch.requestedAt } });
       return () => {};
     }
     const waiting = { since: this.now(), onDecision };
@@ -114,16 +114,16 @@
       const index = share.waiting.indexOf(waiting);
       if (index < 0) return;
       share.waiting.splice(index, 1);
-      if (index < share.asked) share.asked -= 1;
-      this.noteWaiting(tenant, share);
+      if (index < share.requestedCount) share.requestedCount -= 1;
+      this.updateWaitingTenants(tenant, share);
     };
   }
 
   /** A granted request was not made. */
-  giveBack({ tenant, askedAt }: QuotaToken): void {
+  giveBack({ tenant, requestedAt }: QuotaToken): void {
     const share = this.shares.get(tenant);
     if (share === undefined) return;
-    if (this.isLiving(share, askedAt)) share.batches.push({ askedAt, count: 1 });
+    if (this.isValid(share, requestedAt)) share.batches.push({ requestedAt, count: 1 });
     else share.returned += 1;
   }
 
@@ -137,17 +137,17 @@
     );
   }
 
-  /** @param askedAt time before which the requests were not granted */
-  onGrants(grants: readonly QuotaGrant[], askedAt: number): void {
+  /** @param requestedAt time before which the requests were not granted */
+  onGrants(grants: readonly QuotaGrant[], requestedAt: number): void {
     for (const grant of grants) {
       const share = this.shares.get(grant.tenant);
-      if (share !== undefined) this.onGrant(share, grant, askedAt);
+      if (share !== undefined) this.onGrant(share, grant, requestedAt);
     }
   }
 
   /** The question was not answered; what waits is asked for again. */
   onNoAnswer(): void {
-    for (const share of this.shares.values()) share.asked = 0;
+    for (const share of this.shares.values()) share.requestedCount = 0;
   }
 
   /** Ends waits that have lasted too long. */
@@ -156,36 +156,36 @@
       const share = this.shares.get(tenant)!;
       const { waiting } = share;
       while (waiting.length > 0 && this.now() - waiting[0]!.since >= MAX_WAIT_MS) {
-        share.asked = Math.max(0, share.asked - 1);
+        share.requestedCount = Math.max(0, share.requestedCount - 1);
         waiting.shift()!.onDecision({ type: 'uncounted' });
       }
-      this.noteWaiting(tenant, share);
+      this.updateWaitingTenants(tenant, share);
     }
   }
 
-  private onGrant(share: Share, grant: QuotaGrant, askedAt: number): void {
+  private onGrant(share: Share, grant: QuotaGrant, requestedAt: number): void {
     const { tenant, retryAfterMs } = grant;
-    const batch = { askedAt, count: grant.granted };
-    const decided = share.waiting.splice(0, share.asked);
-    share.asked = 0;
-    this.noteWaiting(tenant, share);
-    const isLiving = this.isLiving(share, askedAt);
-    if (isLiving && batch.count > 0) share.batches.push(batch);
+    const batch = { requestedAt, count: grant.granted };
+    const decided = share.waiting.splice(0, share.requestedCount);
+    share.requestedCount = 0;
+    this.updateWaitingTenants(tenant, share);
+    const isValid = this.isValid(share, requestedAt);
+    if (isValid && batch.count > 0) share.batches.push(batch);
     for (const { onDecision } of decided) {
-      if (isLiving && batch.count > 0) {
+      if (isValid && batch.count > 0) {
         batch.count -= 1;
-        onDecision({ type: 'granted', token: { tenant, askedAt } });
+        onDecision({ type: 'granted', token: { tenant, requestedAt } });
       } else {
-        onDecision(isLiving ? { type: 'refused', retryAfterMs } : { type: 'uncounted' });
+        onDecision(isValid ? { type: 'refused', retryAfterMs } : { type: 'uncounted' });
       }
     }
-    if (!isLiving) share.returned += grant.granted;
+    if (!isValid) share.returned += grant.granted;
   }
 
   private createRequest(tenant: string, share: Share): QuotaRequest {
     const { waiting, returned } = share;
     const ahead = share.demand.expected(this.now());
-    share.asked = waiting.length;
+    share.requestedCount = waiting.length;
     share.returned = 0;
     return { tenant, waiting: waiting.length, ahead, returned };
   }
@@ -194,18 +194,18 @@
     let share = this.shares.get(tenant);
     if (share === undefined) {
       const demand = new DemandMeter();
-      share = { limit, batches: [], waiting: [], asked: 0, returned: 0, demand };
+      share = { limit, batches: [], waiting: [], requestedCount: 0, returned: 0, demand };
       this.shares.set(tenant, share);
     }
     share.limit = limit;
     return share;
   }
 
-  private noteWaiting(tenant: string, { waiting }: Share): void {
+  private updateWaitingTenants(tenant: string, { waiting }: Share): void {
     if (waiting.length === 0) this.waitingTenants.delete(tenant);
   }
 
-  private firstLiving(share: Share): Batch | undefined {
+  private firstValidBatch(share: Share): Batch | undefined {
     this.dropExpired(share);
     return share.batches[0];
   }
@@ -213,23 +213,23 @@
   private dropExpired(share: Share): void {
     const { batches } = share;
     for (let index = batches.length - 1; index >= 0; index -= 1) {
-      const { count, askedAt } = batches[index]!;
-      if (count > 0 && this.isLiving(share, askedAt)) continue;
+      const { count, requestedAt } = batches[index]!;
+      if (count > 0 && this.isValid(share, requestedAt)) continue;
       share.returned += count;
       batches.splice(index, 1);
     }
   }
 
-  private isLiving({ limit }: Share, askedAt: number): boolean {
-    return this.now() - askedAt < grantLifeMs(limit, this.allowance());
+  private isValid({ limit }: Share, requestedAt: number): boolean {
+    return this.now() - requestedAt < grantLifetimeMs(limit, this.allowance());
   }
 }
 
 /** Requests of one tenant at this node in the present and the last stretch of time. */
 class DemandMeter {
-  private stretch = -Infinity;
+  private interval = -Infinity;
   private current = 0;
-  private last = 0;
+  private previous = 0;
 
   note(now: number): void {
     this.advance(now);
@@ -239,14 +239,14 @@
   /** Requests that are expected in the next stretch. */
   expected(now: number): number {
     this.advance(now);
-    return Math.max(this.current, this.last);
+    return Math.max(this.current, this.previous);
   }
 
   private advance(now: number): void {
-    const stretch = Math.floor(now / LOOKAHEAD_MS);
-    if (stretch === this.stretch) return;
-    this.last = stretch === this.stretch + 1 ? this.current : 0;
+    const interval = Math.floor(now / LOOKAHEAD_MS);
+    if (interval === this.interval) return;
+    this.previous = interval === this.interval + 1 ? this.current : 0;
     this.current = 0;
-    this.stretch = stretch;
+    this.interval = interval;
   }
 }
--- a/src/core/retry/retry-policy.ts
+++ b/src/core/retry/retry-policy.ts
@@ -10,7 +10,7 @@
 export interface RetryEnvironment {
   readonly now: number;
   /** Whether a target clearly has room for the request. */
-  readonly hasRoom: boolean;
+  readonly hasSpareCapacity: boolean;
   /** Typical time of a request at the service, in milliseconds. */
   readonly typicalLatencyMs: number;
   /** Retry time to report, in milliseconds; asked only when the request is given up. */
@@ -29,7 +29,7 @@
 };
 
 /** Outcomes after which another attempt can help. */
-const RETRYABLE: ReadonlySet<AttemptOutcome> = new Set([
+const RETRYABLE_OUTCOMES: ReadonlySet<AttemptOutcome> = new Set([
   'overloaded',
   'draining',
   'unreachable',
@@ -77,9 +77,9 @@
   state: RetryState,
   environment: RetryEnvironment,
 ): boolean {
-  if (!RETRYABLE.has(state.lastOutcome)) return false;
+  if (!RETRYABLE_OUTCOMES.has(state.lastOutcome)) return false;
   if (state.mayHaveRun && !request.idempotent) return false;
-  return state.lastOutcome !== 'overloaded' || environment.hasRoom;
+  return state.lastOutcome !== 'overloaded' || environment.hasSpareCapacity;
 }
 
 function createRefusal(code: ResultCode, detail: string, environment: RetryEnvironment): Refusal {
--- a/src/core/retry/retry.test.ts
+++ b/src/core/retry/retry.test.ts
@@ -27,7 +27,7 @@
 };
 const ENVIRONMENT: RetryEnvironment = {
   now: 0,
-  hasRoom: true,
+  hasSpareCapacity: true,
   typicalLatencyMs: 50,
   retryAfterMs: () => 200,
 };
@@ -65,7 +65,7 @@
   {
     name: 'overloaded, none has room',
     state: { lastOutcome: 'overloaded' },
-    environment: { hasRoom: false },
+    environment: { hasSpareCapacity: false },
     code: ResultCode.TargetRefused,
   },
   { name: 'no attempts left', state: { attemptsLeft: 0 }, code: ResultCode.AttemptsExhausted },
--- a/src/core/routing/load-score.ts
+++ b/src/core/routing/load-score.ts
@@ -16,16 +16,16 @@
 }
 
 /** Added to the score of a target in another zone of the region: bytes between zones are dear. */
-const OTHER_ZONE_SHARE = 0.6;
+const OTHER_ZONE_PENALTY = 0.6;
 /** Share of its limit up to which a target has room. */
-const ROOMY_SHARE = 0.8;
+const CROWDING_THRESHOLD = 0.8;
 /**
  * Weight of what a target is fuller than that. With it a target of the own zone is left before
  * requests wait there, though another zone is avoided as long as the own one has room.
  */
-const CROWDED_WEIGHT = 4;
+const CROWDING_WEIGHT = 4;
 /** The same for a target in another region. */
-const OTHER_REGION_SHARE = 2;
+const OTHER_REGION_PENALTY = 2;
 /** Time over which a target that joins takes its full share, in milliseconds. */
 const SLOW_START_MS = 2_000;
 /** Factor on the score of a target that has just joined. */
@@ -52,15 +52,15 @@
 ): number {
   const limit = target.lastReport()?.limit ?? defaultLimit();
   const taken = (target.load(now) + 1) / limit;
-  const share = taken + CROWDED_WEIGHT * Math.max(0, taken - ROOMY_SHARE);
-  const placed = (share + distanceShare(target, locality)) * slowStartFactor(now, target);
-  return placed + FAILURE_WEIGHT * target.failureShare(now);
+  const share = taken + CROWDING_WEIGHT * Math.max(0, taken - CROWDING_THRESHOLD);
+  const loadScore = (share + distancePenalty(target, locality)) * slowStartFactor(now, target);
+  return loadScore + FAILURE_WEIGHT * target.failureShare(now);
 }
 
 /** Weighs much while targets are idle and little while they are full, so that load spills over. */
-function distanceShare({ view }: TargetState, { zone, region }: Locality): number {
+function distancePenalty({ view }: TargetState, { zone, region }: Locality): number {
   if (view.zone === zone) return 0;
-  return view.region === region ? OTHER_ZONE_SHARE : OTHER_REGION_SHARE;
+  return view.region === region ? OTHER_ZONE_PENALTY : OTHER_REGION_PENALTY;
 }
 
 function slowStartFactor(now: number, { joinedAt }: TargetState): number {
--- a/src/core/routing/outliers.ts
+++ b/src/core/routing/outliers.ts
@@ -26,7 +26,7 @@
 };
 
 /** Failures of one target in a row, and its ejection. */
-export class Outliers {
+export class OutlierDetection {
   private unreachable = 0;
   private failed = 0;
   private ejections = 0;
--- a/src/core/routing/target-set.ts
+++ b/src/core/routing/target-set.ts
@@ -34,16 +34,16 @@
     const eligible = this.eligible();
     if (!eligible.some(({ health }) => health.isEjected(now))) return eligible;
     const ejected = eligible.filter(({ health }) => health.isEjected(now));
-    const mostAreIn = ejected.length * 2 < eligible.length;
+    const mostRemain = ejected.length * 2 < eligible.length;
     const kept = eligible.filter(
-      ({ health }) => !health.isEjected(now) || !(mostAreIn || health.isUnreachable),
+      ({ health }) => !health.isEjected(now) || !(mostRemain || health.isUnreachable),
     );
     return kept.length > 0 ? kept : eligible;
   }
 
   private updateOne(joinedAt: number, view: TargetView): void {
     const known = this.byId.get(view.id);
-    if (known === undefined || isNewLife(known.view, view)) {
+    if (known === undefined || isNewIncarnation(known.view, view)) {
       this.byId.set(view.id, new TargetState(view, joinedAt));
       return;
     }
@@ -53,7 +53,7 @@
 }
 
 /** A target that has started again is slow at first and holds nothing of before. */
-function isNewLife(known: TargetView, view: TargetView): boolean {
+function isNewIncarnation(known: TargetView, view: TargetView): boolean {
   if (known.incarnation === undefined || view.incarnation === undefined) return false;
   return known.incarnation !== view.incarnation;
 }
--- a/src/core/routing/target-state.ts
+++ b/src/core/routing/target-state.ts
@@ -2,10 +2,10 @@
 import { AgedThreshold } from '../admission/aged-threshold.js';
 import type { AttemptReport, TargetView } from '../overload.js';
 import type { LoadReport } from '../request.js';
-import { Outliers } from './outliers.js';
+import { OutlierDetection } from './outliers.js';
 
 /** Time after which a reported share of failures counts for a third, in milliseconds. */
-const FAILURES_FADE_MS = 2_000;
+const FAILURE_DECAY_MS = 2_000;
 /** A load report older than this says nothing any more, in milliseconds. */
 const REPORT_VALID_MS = 1_000;
 
@@ -13,7 +13,7 @@
 export class TargetState {
   /** Attempts that this router has sent and that have not ended. */
   outstanding = 0;
-  readonly health = new Outliers();
+  readonly health = new OutlierDetection();
   private report: LoadReport | undefined;
   private reportedAt = -Infinity;
   private outstandingAtReport = 0;
@@ -48,7 +48,7 @@
   /** Share of its attempts that the target left without an answer of late, 0 to 1. */
   failureShare(now: number): number {
     const share = this.report?.failureShare ?? 0;
-    return share === 0 ? 0 : share * Math.exp((this.reportedAt - now) / FAILURES_FADE_MS);
+    return share === 0 ? 0 : share * Math.exp((this.reportedAt - now) / FAILURE_DECAY_MS);
   }
 
   /** Last known concurrency limit and latency, however old. */
