--- a/src/core/admission/admission-priority.ts
+++ b/src/core/admission/admission-priority.ts
@@ -20,13 +20,13 @@
   return ((hash ^ (hash >>> 16)) >>> 0) / UINT32_RANGE;
 }
 
-/** End of the quarter of a request's class; the next class begins there. */
+/** Upper bound of the priorities of a request's class, exclusive. */
 export function classUpperBound({ criticality }: RequestContext): number {
   const classes = CRITICALITIES.length;
   return (classes - rankOf(criticality)) / classes;
 }
 
-/** Priority below which a share of a request's own class lies. */
+/** Threshold that refuses the given share of a request's own class. */
 export function thresholdForClassShare(request: RequestContext, share: number): number {
   const classes = CRITICALITIES.length;
   return (classes - 1 - rankOf(request.criticality) + share) / classes;
@@ -34,7 +34,7 @@
 
 /**
  * Admission priority in [0, 1). Each class takes one quarter, `critical` the highest;
- * within its quarter a request stands by the hash of its id. A threshold `t` refuses every
+ * within the quarter, the hash of the request id decides. A threshold `t` refuses every
  * request with a priority below `t`, so 0 refuses none.
  */
 export function admissionPriority(request: RequestContext): number {
--- a/src/core/admission/aged-threshold.ts
+++ b/src/core/admission/aged-threshold.ts
@@ -1,30 +1,30 @@
-/** A threshold heard from elsewhere that fades when no newer one comes. */
+/** A threshold received from elsewhere, which decays unless a newer one arrives. */
 
-/** Time for which a heard threshold holds in full, in milliseconds. */
+/** Time for which a received threshold applies unchanged, in milliseconds. */
 export const HOLD_MS = 100;
-/** Half-life of a heard threshold afterwards, in milliseconds. */
+/** Half-life of a received threshold after that time, in milliseconds. */
 export const HALF_LIFE_MS = 300;
 
-/** Thresholds below this are as good as none. */
+/** Thresholds below this count as 0. */
 const NEGLIGIBLE = 0.001;
 
-/** One threshold with the time when it was heard. */
+/** One threshold with the time when it was received. */
 export class AgedThreshold {
   private value = 0;
   private receivedAt = -Infinity;
 
-  /** Takes a newer threshold, higher or lower. */
+  /** Replaces the threshold by a newer one, higher or lower. */
   note(now: number, threshold: number): void {
     this.value = threshold;
     this.receivedAt = now;
   }
 
-  /** Whether it was heard recently enough to hold in full. */
+  /** Whether it was received recently enough to apply unchanged. */
   isFresh(now: number): boolean {
     return now - this.receivedAt <= HOLD_MS;
   }
 
-  /** The threshold, faded by age. */
+  /** The threshold, decayed by its age. */
   at(now: number): number {
     if (this.value === 0) return 0;
     const age = now - this.receivedAt - HOLD_MS;
--- a/src/core/admission/dagor-controller.ts
+++ b/src/core/admission/dagor-controller.ts
@@ -1,12 +1,11 @@
 /**
- * Admission threshold in steps on the queueing time, as DAGOR (SoCC 2018): the admitted
- * load falls by a share `alpha` in an interval with a high queueing time and else rises
- * by `beta`. Kept for comparison with {@link OfferedLoadController}.
+ * Admission threshold that is stepped by the queueing time, as in DAGOR (SoCC 2018): the
+ * admitted load falls by the share `alpha` in each interval with a high queueing time and
+ * rises by the share `beta` in every other. For comparison with {@link OfferedLoadController}.
  */
 import { OfferedLoad } from './offered-load.js';
 import type { GateState, ThresholdController } from './threshold-controller.js';
 
-/** Parameters of {@link DagorController}. */
 export interface DagorOptions {
   /** Length of an interval, in milliseconds. */
   readonly intervalMs: number;
@@ -18,7 +17,7 @@
   readonly beta: number;
 }
 
-/** Values of the paper, with an interval that fits a recovery within a second. */
+/** Values of the paper, but with an interval short enough to recover within a second. */
 export const DEFAULT_DAGOR_OPTIONS: DagorOptions = {
   intervalMs: 20,
   overloadWaitMs: 20,
--- a/src/core/admission/downstream-thresholds.ts
+++ b/src/core/admission/downstream-thresholds.ts
@@ -1,10 +1,10 @@
-/** Admission thresholds of the services below a target, by kind of the calling request. */
+/** Admission thresholds of the services downstream of a target, by kind of the calling request. */
 import { AgedThreshold } from './aged-threshold.js';
 
-/** Key of thresholds that hold for every kind. */
+/** Key of thresholds that apply to every kind. */
 const EVERY_KIND = '';
 
-/** The highest threshold below and the service that asks for it. */
+/** The highest downstream threshold and the service that set it. */
 export interface DownstreamThreshold {
   readonly threshold: number;
   readonly service: string;
@@ -12,17 +12,17 @@
 
 const NONE: DownstreamThreshold = { threshold: 0, service: '' };
 
-/** Thresholds heard from services below. */
+/** Thresholds received from downstream services. */
 export class DownstreamThresholds {
   private readonly byKind = new Map<string, Map<string, AgedThreshold>>();
 
-  /** Notes what a call of `kind` to `service` has shown. */
+  /** Records the threshold of `service`, received by a call that a request of `kind` made. */
   note(now: number, service: string, threshold: number, kind = EVERY_KIND): void {
     const services = getOrCreate(this.byKind, kind, () => new Map<string, AgedThreshold>());
     getOrCreate(services, service, () => new AgedThreshold()).note(now, threshold);
   }
 
-  /** Highest threshold below for a kind. */
+  /** Highest downstream threshold for a kind of request. */
   highest(now: number, kind: string): DownstreamThreshold {
     let highest = NONE;
     for (const key of [EVERY_KIND, kind]) {
--- a/src/core/admission/offered-load-controller.ts
+++ b/src/core/admission/offered-load-controller.ts
@@ -1,37 +1,35 @@
 /**
- * Admission threshold from the offered load: the threshold at which the load above it
- * just fills the slots. It is computed anew at each interval and not stepped, so it neither
- * winds up during the delay of the call chain nor needs many steps to come down.
+ * Sets the admission threshold from the offered load, so that the load above the threshold
+ * just fills the slots. The threshold is computed from scratch at each interval, not stepped,
+ * so it neither winds up during the delay of the call chain nor needs many steps to come down.
  *
- * It engages on a standing queue (the lowest wait of an interval above a bound, as in
- * CoDel) or on refusals, never on a burst that the queue takes.
+ * It engages on a standing queue (the lowest wait of an interval is above a bound, as in
+ * CoDel) that lasts or comes with refusals, never on a burst that the queue absorbs.
  *
  * @see docs/design/overload-control.md
  */
 import { OfferedLoad } from './offered-load.js';
 import type { GateState, ThresholdController } from './threshold-controller.js';
 
-/** Parameters of {@link OfferedLoadController}. */
 export interface OfferedLoadOptions {
   /** Length of a control interval, in milliseconds. */
   readonly intervalMs: number;
   /** Time constant of the offered load, in milliseconds. */
   readonly smoothingMs: number;
-  /** Time constant at which refused load is forgotten, in milliseconds. */
+  /** Time constant of the decay of refused load, in milliseconds. */
   readonly retentionMs: number;
-  /** The same while slots are idle, in milliseconds. */
+  /** Time constant of the decay of refused load while slots are idle, in milliseconds. */
   readonly idleRetentionMs: number;
   /** Standing wait that engages the threshold, in milliseconds. */
   readonly engageWaitMs: number;
-  /** Time that the wait must stand before the threshold engages, in milliseconds. */
+  /** Time for which the wait must last before it engages without refusals, in milliseconds. */
   readonly engageAfterMs: number;
   /** Waiting requests per slot at which exactly the capacity is admitted. */
   readonly queuePerSlot: number;
-  /** Change of the admitted load per waiting request above that, in slots. */
+  /** Decrease of the admitted load per waiting request above that number, in slots. */
   readonly queueGain: number;
 }
 
-/** Values found by measurement; see the design note. */
 export const DEFAULT_OFFERED_LOAD_OPTIONS: OfferedLoadOptions = {
   intervalMs: 20,
   smoothingMs: 150,
--- a/src/core/admission/offered-load.ts
+++ b/src/core/admission/offered-load.ts
@@ -2,11 +2,11 @@
  * Offered load by admission priority, in slots (erlangs): expected slot time of the
  * requests offered per unit of time.
  *
- * Requests below the threshold are refused further up and stop arriving, so their load is
- * remembered and forgotten slowly; load above the threshold follows the arrivals.
+ * Requests below the threshold are refused upstream and stop arriving, so their load is
+ * retained and decays slowly; load above the threshold follows the arrivals.
  */
 
-/** Buckets over [0, 1); a multiple of the number of criticality classes. */
+/** Number of buckets over [0, 1); a multiple of the number of criticality classes. */
 export const BUCKETS = 128;
 
 /** Offered load, smoothed exponentially. */
@@ -51,7 +51,7 @@
     return this.smoothed.reduce((sum, load) => sum + load, 0);
   }
 
-  /** Lowest threshold at which at most `slots` are asked for; 0 when all fit. */
+  /** Lowest threshold above which the load takes at most `slots`; 0 when all of it fits. */
   thresholdFor(slots: number): number {
     let left = slots;
     for (let bucket = BUCKETS - 1; bucket >= 0; bucket -= 1) {
--- a/src/core/admission/threshold-controller.ts
+++ b/src/core/admission/threshold-controller.ts
@@ -1,6 +1,6 @@
 /** Interface of the controllers that set a gate's own admission threshold. */
 
-/** What a controller sees of its gate at the end of an interval. */
+/** State of a gate, passed to its controller at each update. */
 export interface GateState {
   /** Concurrency limit. */
   readonly limit: number;
@@ -21,8 +21,8 @@
   noteOffered(now: number, priority: number, workMs: number): void;
   /** Counts a refusal for load at this gate. */
   noteRefused(now: number): void;
-  /** Brings the threshold up to date; cheap when the interval has not ended. */
+  /** Updates the threshold when an interval has ended; otherwise cheap. */
   update(now: number, state: GateState): void;
-  /** Requests with a priority below are to be refused; 0 refuses none. */
+  /** Requests with a lower priority are to be refused; 0 refuses none. */
   readonly threshold: number;
 }
--- a/src/core/admission/threshold.test.ts
+++ b/src/core/admission/threshold.test.ts
@@ -14,7 +14,7 @@
 const WORK_MS = 20;
 const STEP_MS = 1;
 
-test('property: a class stands wholly above the next, and an id has one place in it', () => {
+test('property: each class has priorities above the next, and every hop computes the same', () => {
   const request = fc.record({
     requestId: fc.uuid(),
     tenant: fc.constant('t'),
@@ -46,7 +46,7 @@
   assert.equal(load.thresholdFor(0.02), 0);
 });
 
-test('load below the threshold is remembered, load above it follows the arrivals', () => {
+test('load below the threshold is retained, load above it follows the arrivals', () => {
   const load = new OfferedLoad();
   for (const priority of [0.2, 0.8]) load.add(priority, 100);
   load.endInterval(100, 0, 1, 1_000);
@@ -54,7 +54,7 @@
   assert.ok(load.total() > 0.8 && load.total() < 1);
 });
 
-/** Arrivals spread evenly over the priorities; what is below the threshold never comes. */
+/** Arrivals spread evenly over the priorities; requests below the threshold never arrive. */
 class Flow {
   private sequence = 0;
   private pending = 0;
@@ -107,7 +107,7 @@
   });
 }
 
-test('the offered-load threshold is gone within half a second after the overload', () => {
+test('the offered-load threshold is 0 again half a second after the overload', () => {
   const flow = new Flow(new OfferedLoadController());
   for (const multiple of [2, 5]) {
     assert.ok(flow.run(3_000, multiple) > 0.3);
@@ -115,7 +115,7 @@
   }
 });
 
-test('a heard threshold holds, then fades, then is gone', () => {
+test('a received threshold holds, then decays, then is 0', () => {
   const aged = new AgedThreshold();
   assert.equal(aged.at(0), 0);
   aged.note(1_000, 0.8);
@@ -126,7 +126,7 @@
   assert.equal(aged.at(11_000), 0);
 });
 
-test('thresholds from below: the highest service, for every kind or one', () => {
+test('downstream thresholds: the highest one applies, set for every kind or for one', () => {
   const thresholds = new DownstreamThresholds();
   thresholds.note(0, 'a', 0.2);
   thresholds.note(0, 'b', 0.6, 'k');
--- a/src/core/admission/wasted-runs.test.ts
+++ b/src/core/admission/wasted-runs.test.ts
@@ -32,11 +32,11 @@
   return refused / count;
 }
 
-test('nothing is refused before a run was lost', () => {
+test('nothing is refused before a run was wasted', () => {
   assert.equal(refusedShare(1_000, 0), 0);
 });
 
-test('the refused share rises with lost runs, and those requests are the same each time', () => {
+test('the refused share rises with wasted runs, and selects the same requests each time', () => {
   noteWastedRuns(1);
   const riseOfOneRun = runs.shareOf(0, REQUEST);
   assert.ok(riseOfOneRun > 0);
@@ -61,7 +61,7 @@
   assert.equal(runs.shareOf(60_000, REQUEST), 0);
 });
 
-test('some requests always find out whether there is room again', () => {
+test('some requests always pass to find out whether capacity is free again', () => {
   noteWastedRuns(10_000);
   assert.ok(refusedShare(2_000, 0) < 1);
 });
--- a/src/core/admission/wasted-runs.ts
+++ b/src/core/admission/wasted-runs.ts
@@ -1,38 +1,38 @@
 /**
- * Refuses, before work is spent, requests whose runs would end for a refusal below them. Each run that was
- * lost so raises the share of its kind that is refused; the share falls with time, so that it finds its way
- * back also when little is admitted. Which requests are refused goes by the hash of admission, as at every
- * other gate, so that callers who are admitted once are admitted all along the chain.
+ * Refuses requests whose runs would fail because a downstream call is refused for load, before work is
+ * spent on them. Each run that is wasted in this way raises the refused share of its kind. The share falls
+ * with time, so that it recovers even when few requests are admitted. The hash that every gate uses for
+ * admission selects the refused requests, so that a request admitted here is admitted along the whole chain.
  */
 import type { RequestContext } from '../request.js';
 import { hashToUnit } from './admission-priority.js';
 
-/** Rise of the refused share with each lost run. */
+/** Rise of the refused share with each wasted run. */
 const RISE_PER_RUN = 0.015;
-/** Fall of the refused share a second. */
+/** Fall of the refused share per second. */
 const FALL_PER_SECOND = 0.15;
-/** Largest refused share: some requests must find out whether there is room again. */
+/** Largest refused share: some requests must pass to find out whether capacity is free again. */
 const MAX_SHARE = 0.98;
 const MS_PER_SECOND = 1_000;
 
 interface RefusedShare {
   share: number;
-  /** Time up to which the share has fallen. */
+  /** Time at which `share` was computed. */
   at: number;
 }
 
-/** See the module comment; one for each gate. */
+/** Refused shares of one gate, by kind and class. */
 export class WastedRuns {
   private readonly shares = new Map<string, RefusedShare>();
 
-  /** A run of this request ended because a call below it was refused for load. */
+  /** Records that a run of this request failed because a downstream call was refused for load. */
   note(now: number, request: RequestContext): void {
     const key = keyOf(request);
     const share = Math.min(MAX_SHARE, this.shareOf(now, request) + RISE_PER_RUN);
     this.shares.set(key, { share, at: now });
   }
 
-  /** Share of such requests that is refused now, from 0 to 1. */
+  /** Share of the requests of the same kind and class that is refused now, from 0 to 1. */
   shareOf(now: number, request: RequestContext): number {
     const known = this.shares.get(keyOf(request));
     if (known === undefined) return 0;
