--- a/src/core/limit/aimd-limit.ts
+++ b/src/core/limit/aimd-limit.ts
@@ -1,16 +1,15 @@
 /**
  * Additive increase, multiplicative decrease of a concurrency limit, on latency and
- * failures, as TCP Reno does with its window (RFC 5681). A baseline.
+ * failures, as TCP Reno does with its window (RFC 5681). For comparison.
  */
 import type { ConcurrencyLimit, LimitSample } from './concurrency-limit.js';
 
-/** Parameters of {@link AimdLimit}. */
 export interface AimdLimitOptions {
   readonly initialLimit: number;
   readonly maxLimit: number;
   /** A mean latency above this multiple of the lowest mean counts as congestion. Default 2. */
   readonly congestionRatio?: number;
-  /** Factor on congestion. Default 0.9. */
+  /** Factor on the limit on congestion. Default 0.9. */
   readonly decrease?: number;
   /** Shortest time between two decreases, in milliseconds. Default 100. */
   readonly decreaseIntervalMs?: number;
@@ -21,10 +20,10 @@
 const DEFAULT_DECREASE_INTERVAL_MS = 100;
 /** Weight of one sample in the mean latency. */
 const LATENCY_WEIGHT = 0.02;
-/** Samples before the mean counts. */
+/** Samples before the mean latency is used. */
 const WARM_UP_SAMPLES = 50;
 
-/** AIMD limit: one more per limit's worth of good answers, a tenth less on congestion. */
+/** Adds one per limit's worth of successful answers, takes off a tenth on congestion. */
 export class AimdLimit implements ConcurrencyLimit {
   private limit: number;
   private samples = 0;
--- a/src/core/limit/concurrency-limit.ts
+++ b/src/core/limit/concurrency-limit.ts
@@ -1,7 +1,7 @@
 /** Interface of concurrency limits: how many requests one target may serve at a time. */
 import type { AttemptOutcome } from '../request.js';
 
-/** The end of one dispatched request. */
+/** One dispatched request that has ended. */
 export interface LimitSample {
   readonly now: number;
   /** Kind of the request. */
--- a/src/core/limit/declared-limit.ts
+++ b/src/core/limit/declared-limit.ts
@@ -1,17 +1,17 @@
 /**
- * Limit of a target that declares its slots: never above them, below them where the target answers
- * more with fewer requests at a time, or where it refuses because it is full.
+ * Limit of a target that declares its slots. It is never above them, and below them when the target
+ * answers more requests with fewer at a time, or refuses because it is full.
  */
 import type { ConcurrencyLimit, LimitSample } from './concurrency-limit.js';
 import { KneeSearch } from './knee-search.js';
 import { RefusalCeiling } from './refusal-ceiling.js';
 
-/** See the module comment. */
+/** Combines a search below the declared slots with a ceiling set by refusals. */
 export class DeclaredLimit implements ConcurrencyLimit {
   private readonly knee: KneeSearch;
   private readonly ceiling = new RefusalCeiling();
 
-  /** @param slots requests that the target serves at a time, as it says itself */
+  /** @param slots requests that the target serves at a time, as it declares */
   constructor(private readonly slots: number) {
     this.knee = new KneeSearch(slots);
   }
--- a/src/core/limit/gradient-limit.ts
+++ b/src/core/limit/gradient-limit.ts
@@ -1,12 +1,11 @@
 /**
- * Gradient limit: the limit follows the ratio of the long-term to the present latency
+ * Gradient limit: the limit follows the ratio of the long-term to the current latency
  * (the `Gradient2` algorithm of Netflix's concurrency-limits, after TCP Vegas). For
  * comparison: a target that slows down without queueing looks the same as one that queues,
  * so the limit falls when it should not.
  */
 import type { ConcurrencyLimit, LimitSample } from './concurrency-limit.js';
 
-/** Parameters of {@link GradientLimit}. */
 export interface GradientLimitOptions {
   readonly initialLimit: number;
   readonly maxLimit: number;
@@ -14,13 +13,13 @@
 
 /** Latency may exceed the long-term one by this factor without effect. */
 const TOLERANCE = 1.5;
-/** Weight of a new limit. */
+/** Weight of a new limit in the smoothed one. */
 const SMOOTHING = 0.2;
 /** Weight of one sample in the long-term latency. */
 const LONG_WEIGHT = 1 / 600;
-/** Weight of one sample in the present latency. */
+/** Weight of one sample in the current latency. */
 const SHORT_WEIGHT = 0.1;
-/** The long-term latency is pulled down when it is this much above the present one. */
+/** The long-term latency is lowered when it exceeds the current one by this factor. */
 const MAX_DRIFT = 2;
 const DRIFT_FACTOR = 0.95;
 
@@ -41,7 +40,7 @@
   onComplete({ latencyMs, outcome, inFlight }: LimitSample): void {
     if (outcome !== 'success' && outcome !== 'timeout') return;
     this.updateLatencies(latencyMs);
-    // A limit that is not used says nothing about itself.
+    // While the limit is mostly unused, latency does not depend on it.
     if (inFlight < this.limit / 2) return;
     const gradient = Math.max(0.5, Math.min(1, (TOLERANCE * this.longMs!) / this.shortMs));
     const wanted = this.limit * gradient + Math.sqrt(this.limit);
--- a/src/core/limit/knee-search.ts
+++ b/src/core/limit/knee-search.ts
@@ -1,31 +1,31 @@
 /**
- * Looks for the limit at which a target answers most, among its slots and a little less. Some
- * targets slow down when their last slots are taken, so that a few slots less answer more.
+ * Searches for the limit with the highest throughput, among the target's slots and slightly fewer.
+ * Some targets slow down when their last slots are taken, and answer more with a few slots less.
  *
- * While requests wait for slots, each candidate is tried for a number of answers. What is compared
- * is the latency of requests of one kind under one candidate and another, so that a change in the
- * mix of kinds says nothing. Without waiting requests nothing is tried and nothing changes.
+ * While requests wait for slots, each candidate limit applies for a number of answers. Candidates are
+ * compared by the latency of requests of the same kind, so that a change in the mix of kinds has no
+ * effect. Without waiting requests no trial runs and the limit stays.
  */
 
-/** Shares of the slots that are tried; the knee of a target is mostly near its last slots. */
+/** Candidate limits as shares of the slots; the knee of a target is mostly near its last slots. */
 const CANDIDATE_SHARES: readonly number[] = [1, 0.95, 0.9];
 /**
- * Order of the trials. It reads the same backwards, so that a target that becomes faster meanwhile,
- * as after its start, doesn't look as if a lower limit had done it.
+ * Candidates in the order of their trials. The order is symmetric, so that a target that becomes
+ * faster during the search, as after its start, does not make a lower limit look better.
  */
 const TRIAL_ORDER: readonly number[] = [0, 1, 2, 2, 1, 0];
-/** Answers per slot in one trial; each candidate has two. */
+/** Answers per slot in one trial; each candidate has two trials. */
 const ANSWERS_PER_SLOT = 3;
 /** A kind counts when it has this many answers under each candidate that is compared. */
 const MIN_ANSWERS_PER_KIND = 8;
-/** A lower limit must answer this much more than a higher one: more than chance explains. */
+/** Factor in throughput by which a lower limit must win: more than chance explains. */
 const MIN_GAIN = 1.06;
-/** Share of the answers of a trial at which no request may be waiting. */
+/** Largest share of a trial's answers at which no request waits; above it the search is abandoned. */
 const MAX_UNSATURATED_SHARE = 0.2;
 /** Time for which a result holds before the search begins again, in milliseconds. */
 const HOLD_MS = 10_000;
 
-/** The end of one successful request, as the search sees it. */
+/** One successful request. */
 export interface KneeSample {
   readonly now: number;
   readonly kind: string;
@@ -40,22 +40,22 @@
   totalMs: number;
 }
 
-/** One candidate and what it gave. */
+/** One candidate limit and the latencies measured under it. */
 interface Candidate {
   readonly limit: number;
   readonly byKind: Map<string, KindLatency>;
 }
 
-/** The trial that is under way. */
+/** The current trial. */
 interface Trial {
   readonly candidate: Candidate;
-  /** Answers to requests that were dispatched under another limit, which are left out. */
+  /** Answers still to skip: their requests were dispatched under another limit. */
   skip: number;
   answers: number;
   unsaturated: number;
 }
 
-/** See the module comment. */
+/** Search for the best limit of one target. */
 export class KneeSearch {
   private readonly limits: readonly number[];
   private candidates: readonly Candidate[] = [];
@@ -64,7 +64,7 @@
   private best: number;
   private holdUntil = -Infinity;
 
-  /** @param slots requests that the target serves at a time, as it says itself */
+  /** @param slots requests that the target serves at a time, as it declares */
   constructor(slots: number) {
     this.limits = CANDIDATE_SHARES.map((share) => Math.max(1, Math.floor(share * slots)));
     this.best = slots;
@@ -134,7 +134,7 @@
   return best.limit;
 }
 
-/** Requests that `one` answers in the time in which `other` answers one, for the same mix. */
+/** Throughput of `one` relative to `other`, for the same mix of kinds. */
 function rateRatio(one: Candidate, other: Candidate): number {
   let weight = 0;
   let weightedRatio = 0;
--- a/src/core/limit/limit-comparison.test.ts
+++ b/src/core/limit/limit-comparison.test.ts
@@ -1,6 +1,6 @@
 /**
- * Compares concurrency limits before one target in virtual time: slots, a queue in the
- * target, service times that change. Prints its table; see docs/design/overload-control.md.
+ * Compares concurrency limits in front of one simulated target in virtual time. The target has
+ * slots, a queue and changing service times. Prints its table; see docs/design/overload-control.md.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -23,7 +23,7 @@
 
 interface Case {
   readonly name: string;
-  /** Slots as the operator believes. */
+  /** Slots that the operator assumes. */
   readonly assumedSlots: number;
   /** Arrivals as a multiple of the capacity without slowdown. */
   readonly load: number;
@@ -63,7 +63,7 @@
   },
 ];
 
-/** Targets that declare their slots and trouble a limit in other ways. */
+/** Targets that declare their slots but slow down or refuse below them. */
 const DECLARED_CASES: readonly Case[] = [
   {
     name: 'slows down when full',
@@ -90,7 +90,7 @@
   readonly run: () => void;
 }
 
-/** One gate before one target. */
+/** One gate in front of one simulated target. */
 class GateSimulation {
   private now = 0;
   private readonly events: TimedEvent[] = [];
@@ -113,7 +113,7 @@
     this.gate = policy.createTargetGate(options);
   }
 
-  /** Requests answered in time over those that the slots allow. */
+  /** Runs the simulation; returns the requests answered in time as a share of what the slots allow. */
   run(): number {
     this.scheduleArrival();
     while (this.events.length > 0 && this.events[0]!.at < END_MS) {
@@ -237,7 +237,7 @@
   assert.ok(table.get('half the slots known')!['throughput']! >= 0.85);
 });
 
-test('the limit of declared slots gives up the last of them where the target then answers more', () => {
+test('the declared limit goes below the slots when the target then answers more', () => {
   const { fixed, declared } = table.get('slows down when full')!;
   assert.ok(declared! >= 1.1 * fixed!, `${declared} against ${fixed}`);
   for (const name of ['does not slow down', 'slows down when full, little load']) {
@@ -246,7 +246,7 @@
   }
 });
 
-test('refusals that come whatever the load is take nothing from the limit', () => {
+test('refusals that do not depend on the load do not lower the limit', () => {
   const { fixed, declared } = table.get('refuses half whatever its load')!;
   assert.ok(declared! >= 0.97 * fixed!, `${declared} against ${fixed}`);
   assert.ok(table.get('refuses, twice the slots believed')!['declared']! >= 0.95);
--- a/src/core/limit/refusal-ceiling.ts
+++ b/src/core/limit/refusal-ceiling.ts
@@ -1,16 +1,16 @@
 /**
- * Upper bound of a limit by the refusals of the target itself. A target that refuses while
- * `n` requests are in flight, the refused one included, holds at most `n - 1`. The bound
+ * Upper bound of a limit, set by refusals of the target itself. A target that refuses while
+ * `n` requests are in flight, the refused one included, can take at most `n - 1`. The bound
  * rises again in steps of one; a step that is refused makes the next pause longer. Refusals that
- * come whatever the load is bound nothing.
+ * do not depend on the load set no bound.
  */
 import { RefusalPattern } from './refusal-pattern.js';
 
-/** Pause before the first step, in milliseconds. */
+/** Shortest pause before a step, in milliseconds. */
 const FIRST_PAUSE_MS = 100;
 const MAX_PAUSE_MS = 3_200;
 
-/** What a refusing target holds. */
+/** Number of requests that a refusing target can take. */
 export class RefusalCeiling {
   private limit = 1;
   private ceiling = Infinity;
@@ -19,14 +19,14 @@
   private successesLeft = 0;
   private readonly pattern = new RefusalPattern();
 
-  /** The limit, bounded. */
+  /** Returns the limit, bounded by the ceiling. */
   apply(limit: number): number {
     this.limit = limit;
     if (limit < this.ceiling) this.ceiling = Infinity;
     return Math.min(limit, this.ceiling);
   }
 
-  /** The target refused a request for load. */
+  /** Lowers the ceiling after the target refused a request for load. */
   onRefused(now: number, inFlight: number): void {
     this.pattern.note(now, true, inFlight, this.limit);
     if (this.pattern.isIndependentOfLoad) {
@@ -41,7 +41,7 @@
     this.nextStepAt = now + this.pauseMs;
   }
 
-  /** The target answered; a step that holds for a limit's worth of answers permits the next. */
+  /** Raises the ceiling by one step after a ceiling's worth of answers without a refusal. */
   onSuccess(now: number, inFlight: number): void {
     this.pattern.note(now, false, inFlight, this.limit);
     if (this.ceiling === Infinity || now < this.nextStepAt) return;
--- a/src/core/limit/refusal-pattern.ts
+++ b/src/core/limit/refusal-pattern.ts
@@ -1,37 +1,37 @@
 /**
- * Tells a target that refuses because it is full from one that refuses whatever its load: a full
- * target takes what comes while few requests are in flight, a faulty one refuses then as well.
- * Taken for full, a target that refuses at random would be given ever less.
+ * Distinguishes a target that refuses because it is full from one that refuses whatever its load.
+ * A full target accepts requests while few are in flight; a faulty one refuses then as well. If it
+ * counted as full, the limit of a target that refuses at random would fall further and further.
  */
 
-/** Time after which an attempt counts for a third, in milliseconds. */
+/** Time in which the weight of an attempt decays to about a third, in milliseconds. */
 const TIME_CONSTANT_MS = 1_000;
-/** Refusals at low load from which they say something. */
+/** Fewest refusals at low load that count as a sign of a fault. */
 const MIN_LOW_LOAD_REFUSALS = 2;
-/** Share of refusals at low load below which they may be steps above what a full target holds. */
+/** Below this share, refusals at low load may come from steps above what a full target can take. */
 const MIN_LOW_LOAD_SHARE = 0.03;
-/** Share of the limit up to which load is low: a target that holds half of it counts as full. */
+/** Share of the limit up to which load is low: a target that can take half of it counts as full. */
 const LOW_LOAD_SHARE = 0.5;
-/** At low load a faulty target refuses at least this part of what it refuses at high load. */
+/** A faulty target's share of refusals at low load is at least this part of that at high load. */
 const MIN_SHARE_RATIO = 0.5;
 
-/** Attempts at one level of load; they decay with time. */
+/** Numbers of attempts at one level of load; they decay with time. */
 interface Level {
   refused: number;
   ended: number;
 }
 
-/** See the module comment. */
+/** Refusals of one target at low and at high load. */
 export class RefusalPattern {
   private readonly low: Level = { refused: 0, ended: 0 };
   private readonly high: Level = { refused: 0, ended: 0 };
   private updatedAt = 0;
 
   /**
-   * Takes in the end of an attempt.
+   * Records the end of an attempt.
    *
    * @param inFlight requests in flight just before, this one included
-   * @param limit the limit if nothing were refused
+   * @param limit the limit without a bound by refusals
    */
   note(now: number, refused: boolean, inFlight: number, limit: number): void {
     this.decay(now);
@@ -40,7 +40,7 @@
     if (refused) level.refused += 1;
   }
 
-  /** Whether refusals come whatever the load is. */
+  /** Whether the target refuses whatever its load. */
   get isIndependentOfLoad(): boolean {
     const share = shareOf(this.low);
     if (this.low.refused < MIN_LOW_LOAD_REFUSALS || share < MIN_LOW_LOAD_SHARE) return false;
--- a/src/core/limit/service-time.ts
+++ b/src/core/limit/service-time.ts
@@ -3,7 +3,7 @@
 
 /** Weight of one sample at a high rate of samples. */
 const MIN_WEIGHT = 0.08;
-/** Time constant by which a sample after a long pause weighs more, in milliseconds. */
+/** Time constant with which a sample's weight grows with the pause before it, in milliseconds. */
 const TIME_CONSTANT_MS = 250;
 /** Estimate before any sample, in milliseconds. */
 const DEFAULT_ESTIMATE_MS = 10;
@@ -18,7 +18,7 @@
   private readonly byKind = new Map<string, Estimate>();
   private overall: Estimate | undefined;
 
-  /** Learns from one ended request; a timeout tells a lower bound. */
+  /** Records one ended request; a timeout gives a lower bound. */
   note(now: number, kind: string, latencyMs: number, outcome: AttemptOutcome): void {
     if (outcome === 'success') {
       this.add(now, kind, latencyMs);
--- a/src/core/limit/throughput-limit.ts
+++ b/src/core/limit/throughput-limit.ts
@@ -1,23 +1,22 @@
 /**
- * Limit by throughput: stays at the slots that the operator knows and leaves them only on
+ * Limit by throughput. It starts at the slots that the operator configured and changes only on
  * evidence from trials.
  *
  * While requests wait for slots, a trial runs with a higher limit for a number of
- * completions. A target with free slots answers more requests per second then; one without
- * answers as many as before, only later. The limit rises after one clear or two weak
- * successes; above the known slots a trial with a lower limit runs after each failed one.
- * Latency changes nothing: a target that slows down, or waits for others, keeps its slots.
+ * completions. A target with free slots then answers more requests per second; one without
+ * free slots answers as many as before, only later. The limit rises after one clear or two weak
+ * successes; above the configured slots a trial with a lower limit follows each failed one.
+ * Latency has no effect: a target that slows down, or waits for others, keeps its slots.
  * (Hill climbing at the throughput knee; compare the `Gradient2` limit of Netflix's
  * concurrency-limits.)
  *
- * A target that refuses for load is believed at once.
+ * A refusal for load by the target lowers the limit at once.
  *
  * @see docs/design/overload-control.md
  */
 import type { ConcurrencyLimit, LimitSample } from './concurrency-limit.js';
 import { RefusalCeiling } from './refusal-ceiling.js';
 
-/** Parameters of {@link ThroughputLimit}. */
 export interface ThroughputLimitOptions {
   readonly initialLimit: number;
   readonly maxLimit: number;
@@ -27,17 +26,17 @@
 const TRIAL_SHARE = 0.25;
 /** Completions per slot in one measurement. */
 const COMPLETIONS_PER_SLOT = 10;
-/** A trial succeeds when throughput follows the limit by at least this share. */
+/** A trial succeeds when throughput follows the change of the limit by at least this share. */
 const MIN_FOLLOW_SHARE = 0.3;
-/** Pause after a failed trial, in milliseconds; it grows with each further one. */
+/** Base of the pause after a failed trial, in milliseconds; it grows with each further one. */
 const FIRST_PAUSE_MS = 1_000;
 const MAX_PAUSE_MS = 30_000;
 const PAUSE_GROWTH = 4;
-/** The same from which a single trial convinces. */
+/** Share from which a single trial is a clear success. */
 const CLEAR_FOLLOW_SHARE = 0.9;
-/** Trials in a row that must succeed before the limit rises otherwise. */
+/** Weak successes in a row after which the limit rises. */
 const CONFIRMATIONS = 2;
-/** Share of the completions of a measurement at which the queue may be empty. */
+/** Largest share of a measurement's completions at which the queue may be empty. */
 const MAX_UNSATURATED_SHARE = 0.1;
 
 interface Measurement {
@@ -47,7 +46,7 @@
   startedAt: number;
 }
 
-/** Anchored hill climbing on throughput. */
+/** Hill climbing on throughput from the configured slots. */
 export class ThroughputLimit implements ConcurrencyLimit {
   private limit: number;
   private trialLimit: number | undefined;
