--- a/src/core/policies/adaptive-gate.test.ts
+++ b/src/core/policies/adaptive-gate.test.ts
@@ -10,7 +10,7 @@
 import { ADAPTIVE_PARTS, createAdaptivePolicy } from './adaptive.js';
 
 const LIMIT = 3;
-/** A limit from which one slot is reserved for nested calls. */
+/** A limit at which one slot is reserved for nested calls. */
 const CHECKED_LIMIT = 6;
 const CHECKED_RESERVE = 1;
 const RUNS = 300;
@@ -69,7 +69,7 @@
   },
 );
 
-/** Drives a gate and checks at each action what must always hold. */
+/** Drives a gate and checks its invariants at each action. */
 class CheckedGate {
   readonly gate = createGate(CHECKED_LIMIT);
   readonly log: GateAction[] = [];
@@ -150,14 +150,17 @@
     assert.equal(inFlight, this.running.length);
     assert.equal(queued, this.waiting.size);
     assert.ok(inFlight <= limit, 'more dispatched than the limit');
-    assert.ok(queued === 0 || inFlight >= limit - CHECKED_RESERVE, 'waiting beside a free slot');
+    assert.ok(
+      queued === 0 || inFlight >= limit - CHECKED_RESERVE,
+      'requests wait while a slot is free',
+    );
     assert.ok(threshold >= 0 && threshold <= 1);
     assert.ok(queued <= MAX_QUEUED_PER_SLOT * limit, 'queue too long');
     for (const { deadline } of this.waiting.values()) assert.ok(deadline >= this.now);
   }
 }
 
-/** Order of refusals: by class, callers before calls of other services, then by priority. */
+/** Order of refusals: by class, root requests before nested calls, then by priority. */
 function isLessImportant(one: RequestContext, other: RequestContext): boolean {
   const ranks = rankOf(one.criticality) - rankOf(other.criticality);
   if (ranks !== 0) return ranks > 0;
@@ -214,7 +217,7 @@
   assert.equal(gate.report(300).queued, 0);
 });
 
-test('a full queue gives up the least important request for a more important one', () => {
+test('a full queue refuses the least important request in favour of a more important one', () => {
   const gate = createBusyGate();
   const tickets = [5, 6, 7, 8, 9];
   // 150 ms of three slots at 100 ms each: five may wait.
@@ -226,7 +229,7 @@
   assert.deepEqual(gate.complete(101, 2, 'success'), [{ type: 'dispatch', ticket: 10 }]);
 });
 
-test('a threshold from below refuses only the kind that calls there', () => {
+test('a downstream threshold refuses only requests of the kind that calls there', () => {
   const gate = createGate();
   gate.noteDownstream(0, 'deep', 0.9, 'calls-deep');
   const offers = (kind: string, ticket: number, now: number) =>
@@ -239,7 +242,7 @@
   assert.equal(offers('calls-deep', 4, 2_000), 'dispatch');
 });
 
-test('a call of another service passes a threshold that is a little above it', () => {
+test('a nested call passes a threshold that is slightly above its priority', () => {
   const gate = createGate();
   const offer = (ticket: number, excess: number, depth: number) => {
     const request = createRequest(ticket, 'normal', 1_000, 'calls-deep', depth);
@@ -252,7 +255,7 @@
   assert.equal(offer(3, 0.1, 1), 'refuse');
 });
 
-test('calls of a run that has been served calls pass where its first call does not', () => {
+test('calls of a run whose earlier calls were served pass where its first call does not', () => {
   const gate = createGate();
   gate.noteDownstream(0, 'deep', 0.49, 'calls-deep');
   const offer = (ticket: number, criticality: Criticality, committed: boolean) => {
@@ -263,10 +266,10 @@
   assert.equal(offer(low, 'normal', false), 'refuse');
   assert.equal(offer(low, 'normal', true), 'dispatch');
   gate.noteDownstream(0, 'deep', 0.6, 'calls-deep');
-  assert.equal(offer(low, 'normal', true), 'refuse', 'not before a higher class');
+  assert.equal(offer(low, 'normal', true), 'refuse', 'not above the next class');
 });
 
-/** A ticket whose request of class `normal` has such a priority. */
+/** Finds a ticket whose request of class `normal` has a fitting priority. */
 function findTicket(fits: (found: { readonly priority: number }) => boolean): number {
   for (let ticket = 1; ; ticket += 1) {
     if (fits({ priority: admissionPriority(createRequest(ticket, 'normal', 1_000)) }))
@@ -274,7 +277,7 @@
   }
 }
 
-test('requests of a kind that has become too slow are let through one at a time', () => {
+test('requests of a kind that has become too slow pass one at a time, as probes', () => {
   const gate = createGate();
   gate.offer(0, 1, createRequest(1, 'critical', 10_000));
   gate.complete(500, 1, 'success');
--- a/src/core/policies/adaptive-gate.ts
+++ b/src/core/policies/adaptive-gate.ts
@@ -1,7 +1,7 @@
 /**
  * The target gate of policy `adaptive`: an adaptive concurrency limit, a queue by
  * criticality and deadline that is bounded by time, and an admission threshold that is
- * also carried up the call chain.
+ * also reported up the call chain.
  *
  * @see docs/design/overload-control.md
  */
@@ -24,7 +24,6 @@
 import { RetryAfterEstimate } from '../retry/retry-after.js';
 import { InFlight } from './in-flight.js';
 
-/** Parts of an {@link AdaptiveGate}. */
 export interface AdaptiveGateOptions {
   readonly limit: ConcurrencyLimit;
   readonly queue: WaitingQueue;
@@ -33,17 +32,18 @@
   readonly maxWaitMs: number;
 }
 
-/** Fewest requests that may wait, whatever the service time. */
+/** Smallest bound of the queue's length, whatever the service time. */
 const MIN_QUEUED = 4;
-/** Most requests that may wait per slot, whatever the service time. */
+/** Largest bound of the queue's length per slot, whatever the service time. */
 export const MAX_QUEUED_PER_SLOT = 50;
 
 /**
- * Requests from a service above pass when they are below the threshold by no more than
- * this, a third of a class: they were admitted a moment ago, and work has been spent on them,
- * which a refusal would waste. With a whole class the requests of callers starve at the gate.
+ * Nested calls pass when they are below the threshold by no more than this, a third of a
+ * class: their requests were admitted a moment ago, and a refusal would waste the work spent on
+ * them. With a tolerance of a whole class, root requests starve at the gate.
  */
 const NESTED_TOLERANCE = 0.08;
+
 /** Limit, queue and admission of one target. */
 export class AdaptiveGate implements TargetGate {
   private readonly inFlight = new InFlight();
@@ -167,7 +167,7 @@
     return { type: 'dispatch', ticket };
   }
 
-  /** Whether the newest estimate says that the answer would come after the deadline. */
+  /** Whether, by the newest estimate, the answer would come after the deadline. */
   private isLate(now: number, { request }: WaitingRequest): boolean {
     const { kind, deadline } = request;
     return now + this.estimate(kind) > deadline && this.inFlight.hasKind(kind);
@@ -182,7 +182,7 @@
     return actions;
   }
 
-  /** Refuses the least important of all that wait, so that no class stands before a higher one. */
+  /** Refuses the least important waiting request, so that no class is preferred to a higher one. */
   private refuseLowest(now: number, code: ResultCode): GateAction {
     const lowest = this.options.queue.takeLowest()!;
     return this.refuse(now, lowest, code, `refused for load of ${lowest.request.service}`);
@@ -243,9 +243,9 @@
 }
 
 /**
- * Priority at the gate: work that has been spent on a request above raises it. Calls of a run whose
- * earlier calls have been served stand at the top of their class, so that only the first of several calls
- * is likely to be refused.
+ * Priority at the gate, raised for requests on which work has been spent upstream. Calls of a run whose
+ * earlier calls have been served get the top priority of their class, so that mostly only the first of
+ * several calls is refused.
  */
 function gatePriority(request: RequestContext): number {
   const priority = admissionPriority(request);
--- a/src/core/policies/adaptive-router.test.ts
+++ b/src/core/policies/adaptive-router.test.ts
@@ -27,7 +27,7 @@
   return request;
 }
 
-/** Picks and ends `count` attempts; returns how often each target was picked. */
+/** Picks targets for `count` attempts and ends them; returns how often each was picked. */
 function pickMany(
   router: AdaptiveRouter,
   count: number,
@@ -54,7 +54,7 @@
   }
 });
 
-test('a target that loses a part of its answers gets little while the others have room', () => {
+test('a target that loses a part of its answers gets few requests while others have capacity', () => {
   const router = createRouter([createView('good'), createView('lossy'), createView('other')]);
   const lossy = { ...LOAD, failureShare: 0.4 };
   const end = (target: string) => (target === 'lossy' ? { load: lossy } : {});
@@ -66,7 +66,7 @@
   assert.ok((pickMany(router, 100, 4, endFull)['lossy'] ?? 0) > 50);
 });
 
-test('a target whose failures are over is tried again', () => {
+test('a target that no longer fails gets requests again', () => {
   const router = createRouter([createView('good'), createView('lossy')]);
   const lossy = { ...LOAD, failureShare: 0.5 };
   pickMany(router, 30, 1, (target) => (target === 'lossy' ? { load: lossy } : {}));
@@ -74,7 +74,7 @@
   assert.ok((pickMany(router, 50, 8_000)['lossy'] ?? 0) > 0);
 });
 
-test('prefers the own zone and spills over when it is loaded', () => {
+test('prefers the local zone and spills over when it is loaded', () => {
   const router = createRouter([createView('near', 'a'), createView('far', 'b')]);
   assert.deepEqual(pickMany(router, 50, 1), { near: 50 });
   const loaded = { ...LOAD, inFlight: 10, queued: 20 };
@@ -88,7 +88,7 @@
   assert.ok(pick.type === 'target' && pick.target === 't2');
 });
 
-test('a failing target is ejected, probed, and taken back', () => {
+test('a failing target is ejected, probed, and readmitted', () => {
   const router = createRouter([createView('good'), createView('bad')]);
   const failing = (target: string) =>
     target === 'bad' ? { outcome: 'unreachable' as AttemptOutcome, load: undefined! } : {};
@@ -100,7 +100,7 @@
   assert.ok(recovered['bad']! > 50, JSON.stringify(recovered));
 });
 
-test('outliers never empty a service', () => {
+test('a service keeps its targets when all of them are outliers', () => {
   const outcomes: readonly AttemptOutcome[] = ['unreachable', 'failed', 'timeout'];
   for (const outcome of outcomes) {
     const router = createRouter([createView('t1'), createView('t2'), createView('t3')]);
@@ -112,7 +112,7 @@
   }
 });
 
-test('refuses at the entry what would be refused deeper, by kind, and forgets it', () => {
+test('refuses at the entry what would be refused downstream, by kind, until the threshold decays', () => {
   const router = createRouter([createView('t1')]);
   pickMany(router, 1, 0, () => ({ load: { ...LOAD, threshold: 0.5 } }));
   const refusal = router.admit(10, createRequest('normal'));
@@ -125,7 +125,7 @@
   assert.equal(router.admit(1_000, createRequest('normal')), undefined);
 });
 
-test('a new target takes its share slowly', () => {
+test('a new target gets its share of requests gradually', () => {
   const views = [createView('t1'), createView('t2')];
   const router = createRouter(views);
   pickMany(router, 10, 0);
@@ -141,7 +141,7 @@
   assert.deepEqual(picks[0], picks[1]);
 });
 
-test('a target that has started again under its id takes its share slowly', () => {
+test('a target restarted under the same id gets its share of requests gradually', () => {
   const withIncarnation = (incarnation: string): TargetView => ({
     ...createView('t1'),
     incarnation,
--- a/src/core/policies/adaptive-router.ts
+++ b/src/core/policies/adaptive-router.ts
@@ -27,13 +27,12 @@
 import { TargetSet } from '../routing/target-set.js';
 import type { TargetState } from '../routing/target-state.js';
 
-/** Parts of an {@link AdaptiveRouter}. */
 export interface AdaptiveRouterParts {
   readonly choose: TargetChoice;
   readonly retryBudget: RetryBudget;
 }
 
-/** Share of its limit below which a target clearly has room. */
+/** Share of its limit below which a target clearly has spare capacity. */
 const SPARE_CAPACITY_SHARE = 0.8;
 
 /** Admission, routing and retries towards one service. */
@@ -59,7 +58,7 @@
   }
 
   admit(now: number, request: RequestContext): Refusal | undefined {
-    // Work has been spent above; the gate, which knows the present load, decides.
+    // Work has been spent upstream; the gate, which knows the current load, decides.
     if (request.depth > 0) return undefined;
     if (admissionPriority(request) >= this.threshold(now, request.kind)) return undefined;
     return this.refuse(now, request, ResultCode.AdmissionRefused, 'refused for load');
--- a/src/core/policies/adaptive-variants.ts
+++ b/src/core/policies/adaptive-variants.ts
@@ -1,6 +1,6 @@
 /**
- * Variants of policy `adaptive` with one part replaced by another published way, so that
- * both are measured in the same run. Not meant for production.
+ * Variants of policy `adaptive` with one part replaced by another published algorithm, for
+ * comparison in the same run. Not meant for production.
  *
  * @see docs/design/overload-control.md
  */
@@ -20,7 +20,7 @@
 } from '../routing/target-choice.js';
 import { ADAPTIVE_PARTS, type AdaptiveParts, createAdaptivePolicy } from './adaptive.js';
 
-/** Waiting requests from which the adaptive LIFO queue turns round. */
+/** Waiting requests above which the adaptive LIFO queue takes the newest first. */
 const LIFO_ABOVE = 4;
 
 const VARIANTS: Readonly<Record<string, Partial<AdaptiveParts>>> = {
@@ -44,14 +44,14 @@
 
 const { createTargetGate, createServiceRouter } = createAdaptivePolicy('adaptive', ADAPTIVE_PARTS);
 
-/** Ejection of outliers alone, as in Envoy: routing hears of no share of failures. */
+/** Ejects outliers only, as in Envoy: gates report no share of failures to routing. */
 registerOverloadPolicy({
   name: 'adaptive-ejection-alone',
   createServiceRouter,
   createTargetGate: (options) => withoutFailureShare(createTargetGate(options)),
 });
 
-/** Runs that are lost below raise nothing where they begin. */
+/** Wasted runs do not raise the share of root requests that is refused. */
 registerOverloadPolicy({
   name: 'adaptive-without-lost-runs',
   createServiceRouter,
--- a/src/core/policies/adaptive.ts
+++ b/src/core/policies/adaptive.ts
@@ -1,4 +1,4 @@
-/** Policy `adaptive`: sillshore's own, and the parts that it is made of. */
+/** Policy `adaptive`, sillshore's own, and its parts. */
 import {
   DEFAULT_OFFERED_LOAD_OPTIONS,
   OfferedLoadController,
@@ -37,13 +37,13 @@
   maxWaitMs: 150,
 };
 
-/** Where the slots are declared by the target itself there is nothing to find above them. */
+/** A target that declares its slots (`maxLimit` is `initialLimit`) has no capacity above them. */
 function createLimit(options: TargetGateOptions): ConcurrencyLimit {
   const { initialLimit, maxLimit } = options;
   return maxLimit > initialLimit ? new ThroughputLimit(options) : new DeclaredLimit(initialLimit);
 }
 
-/** Makes a policy from parts. */
+/** Creates a policy from its parts. */
 export function createAdaptivePolicy(name: string, parts: AdaptiveParts): OverloadPolicy {
   return {
     name,
--- a/src/core/policies/baseline-router.ts
+++ b/src/core/policies/baseline-router.ts
@@ -1,7 +1,7 @@
 /**
  * The calling side of the baselines: round robin, no admission, and immediate
- * retries per layer that know neither the request's attempts nor a budget. The node's
- * ledger still bounds the attempts where one is in force.
+ * retries per layer that use neither the request's attempt budget nor a retry budget. The
+ * node's attempt ledger still bounds the attempts where one is in force.
  */
 import type {
   PickResult,
--- a/src/core/policies/bounded-gate.ts
+++ b/src/core/policies/bounded-gate.ts
@@ -9,22 +9,21 @@
 import { ResultCode } from '../result-code.js';
 import { InFlight } from './in-flight.js';
 
-/** Parts of a {@link BoundedGate}. */
 export interface BoundedGateOptions {
   readonly limit: ConcurrencyLimit;
   readonly queue: WaitingQueue;
   /** Most requests that may wait. */
   readonly maxQueued: number;
-  /** Whether a waiting request is refused at its deadline; else the dispatch is wasted. */
+  /** Whether a waiting request is refused at its deadline; else it is dispatched in vain. */
   readonly refusesAtDeadline: boolean;
 }
 
-/** Retry time of every refusal of a baseline, in milliseconds. */
+/** Retry time on every refusal of a baseline, in milliseconds. */
 export const BASELINE_RETRY_AFTER_MS = 100;
 
 const LATENCY_SMOOTHING = 0.1;
 
-/** Limit, queue and nothing else. */
+/** Limit and queue of one target. */
 export class BoundedGate implements TargetGate {
   private readonly inFlight = new InFlight();
   private latencyMs = 0;
