--- a/src/core/policies/bounded-gate.ts
+++ b/src/core/policies/bounded-gate.ts
@@ -14,7 +14,7 @@
   readonly queue: WaitingQueue;
   /** Most requests that may wait. */
   readonly maxQueued: number;
-  /** Whether a waiting request is refused at its deadline; else it is dispatched in vain. */
+  /** Whether a waiting request is refused at its deadline; else it is dispatched too late. */
   readonly refusesAtDeadline: boolean;
 }
 
