--- a/src/core/queue/adaptive-lifo-queue.ts
+++ b/src/core/queue/adaptive-lifo-queue.ts
@@ -1,5 +1,5 @@
 /**
- * Criticality first; within a class first in, first out while the queue is short and last
+ * Orders by criticality; within a class first in, first out while the queue is short and last
  * in, first out while it is long (adaptive LIFO, Facebook 2015). For comparison with
  * {@link CriticalityQueue}.
  */
--- a/src/core/queue/criticality-queue.test.ts
+++ b/src/core/queue/criticality-queue.test.ts
@@ -44,7 +44,7 @@
   );
 });
 
-test('calls from other services go first in their class, the shortest before the longer', () => {
+test('nested calls go first in their class, the shortest service time first', () => {
   const queue = createQueue();
   const nested = [
     [11, 30],
@@ -61,7 +61,7 @@
   );
 });
 
-test('gives up the lowest class first and in it the lowest priority', () => {
+test('refuses the lowest class first and in it the lowest priority', () => {
   const queue = createQueue();
   assert.deepEqual(
     drain(() => queue.takeLowest()),
@@ -69,7 +69,7 @@
   );
 });
 
-test('gives up callers before the calls of other services in their class', () => {
+test('refuses root requests before nested calls of the same class', () => {
   const queue = createQueue();
   const request = createRequest('normal', 1);
   queue.add({ ticket: 11, request, giveUpAt: 500, priority: 0.26, serviceMs: 5 });
@@ -79,7 +79,7 @@
   );
 });
 
-test('expires by latest useful start and knows the next time', () => {
+test('expires by latest useful start and returns the next such time', () => {
   const queue = createQueue();
   assert.equal(queue.earliestGiveUp(), 10);
   const expired = queue.takeExpired(30).map(({ ticket }) => ticket);
@@ -87,7 +87,7 @@
   assert.equal(queue.earliestGiveUp(), 50);
 });
 
-test('counts those that go first', () => {
+test('counts the requests that go before a new one', () => {
   const cases: readonly (readonly [Criticality, number, number])[] = [
     ['critical', 40, 0],
     ['critical', 60, 1],
@@ -115,7 +115,7 @@
   assert.equal(slots(at + 5_000, 'normal'), 0);
 });
 
-test('the length follows every way into and out of the queue', () => {
+test('the length is right after every way into and out of the queue', () => {
   const queue = createQueue();
   assert.equal(queue.length, 5);
   queue.takeNext(0);
@@ -134,7 +134,7 @@
   assert.equal(queue.earliestGiveUp(), undefined);
 });
 
-test('a caller that must start now to be in time goes before the calls of its class', () => {
+test('a root request that must start now to be in time goes before nested calls of its class', () => {
   const queue = new CriticalityQueue();
   const add = (ticket: number, depth: number, dueAt: number, criticality: Criticality): void => {
     const request = { ...createRequest(criticality, depth), dueAt };
@@ -151,7 +151,7 @@
   );
 });
 
-test('while there is time, or without an objective, calls go first', () => {
+test('while there is time, or without an objective, nested calls go first', () => {
   const queue = new CriticalityQueue();
   for (const [ticket, depth, dueAt] of [
     [1, 0, 250],
--- a/src/core/queue/criticality-queue.ts
+++ b/src/core/queue/criticality-queue.ts
@@ -1,19 +1,19 @@
 /**
- * Criticality first. Within a class calls from other services come before callers' requests,
- * the shortest service time first, because each of them holds a slot above while it waits
- * and that order makes the sum of their waits least. Callers' requests follow by their latest
- * useful start (least laxity; earliest deadline first when service times are equal).
+ * Orders by criticality. Within a class nested calls come before root requests, the shortest
+ * service time first, because each of them holds a slot upstream while it waits and that order
+ * minimizes the sum of their waits. Root requests follow by their latest useful start (least
+ * laxity; earliest deadline first when service times are equal).
  *
- * A caller's request that must start now to be answered within its objective goes before the calls
- * of its class, so that these do not make all callers' requests late. One that is late already
- * waits its turn: it has lost most of its value.
+ * A root request that must start now to be answered within its objective goes before the nested
+ * calls of its class, so that these do not make all root requests late. One that is late already
+ * gets no such precedence: it has lost most of its value.
  */
 import { CRITICALITIES, rankOf } from '../request.js';
 import type { WaitingQueue, WaitingRequest } from './waiting-queue.js';
 
 /**
- * Time left to the objective, in service times, from which a request must start: service times vary
- * by about half of their mean, so that with one service time alone half of the answers are late.
+ * Time left to the objective, in service times, at which a request must start. Service times vary by
+ * about half of their mean, so that with a single service time left half of the answers are late.
  */
 const URGENT_SERVICE_TIMES = 2;
 
@@ -21,7 +21,7 @@
 export class CriticalityQueue implements WaitingQueue {
   private readonly levels: WaitingRequest[][] = CRITICALITIES.flatMap(() => [[], []]);
 
-  /** Counted, because the gate asks for it several times a request and mostly nothing waits. */
+  /** Counted, because the gate reads it several times per request and mostly nothing waits. */
   private count = 0;
 
   get length(): number {
@@ -102,12 +102,12 @@
   return 2 * rankOf(request.criticality) + (request.depth > 0 ? 0 : 1);
 }
 
-/** Whether a level holds calls of other services; that of callers' requests follows it. */
+/** Whether a level holds nested calls; the root requests of their class are in the next level. */
 function isNestedLevel(level: number): boolean {
   return level % 2 === 0;
 }
 
-/** Whether the answer will just be within the objective when the request starts now. */
+/** Whether the request must start now for its answer to be just within the objective. */
 function isUrgent(now: number, { request, serviceMs }: WaitingRequest): boolean {
   const { dueAt } = request;
   if (dueAt === undefined) return false;
@@ -115,12 +115,12 @@
   return leftMs >= serviceMs && leftMs <= URGENT_SERVICE_TIMES * serviceMs;
 }
 
-/** What a level is sorted by. */
+/** Key by which a level is sorted. */
 function sortKey({ request, serviceMs, giveUpAt }: WaitingRequest): number {
   return request.depth > 0 ? serviceMs : giveUpAt;
 }
 
-/** Position after all that are not greater (binary search). */
+/** Position after all requests whose key is not greater (binary search). */
 function findPosition(sorted: readonly WaitingRequest[], waiting: WaitingRequest): number {
   const key = sortKey(waiting);
   let low = 0;
--- a/src/core/queue/fifo-queue.ts
+++ b/src/core/queue/fifo-queue.ts
@@ -1,7 +1,7 @@
-/** First in, first out. A baseline. */
+/** First in, first out; the queue of the baselines. */
 import type { WaitingQueue, WaitingRequest } from './waiting-queue.js';
 
-/** A queue in order of arrival, blind to criticality; the last to come is refused first. */
+/** A queue in order of arrival that ignores criticality; the newest request is refused first. */
 export class FifoQueue implements WaitingQueue {
   private readonly waiting = new Map<number, WaitingRequest>();
 
--- a/src/core/queue/nested-reserve.ts
+++ b/src/core/queue/nested-reserve.ts
@@ -1,11 +1,10 @@
 /**
- * Slots kept free for calls from other services while a target is overloaded.
+ * Slots kept free for nested calls while a target is overloaded.
  *
- * A call from another service holds a slot above for as long as it waits here. When less
- * important callers' requests fill every slot, each such call waits for the next slot to
- * come free, and the capacity above falls by that wait. A small reserve costs less. It
- * follows the square root of the load of these calls, as safety staffing does in queueing
- * theory (Halfin and Whitt 1981).
+ * A nested call holds a slot upstream for as long as it waits here. When less important root
+ * requests fill every slot, each nested call waits for the next free slot, and the capacity
+ * upstream falls by that wait. A small reserve costs less. It grows with the square root of
+ * the load of nested calls, as in safety staffing of queueing theory (Halfin and Whitt 1981).
  *
  * @see docs/design/overload-control.md
  */
@@ -13,9 +12,9 @@
 
 /** Largest reserved share of the limit. */
 const MAX_RESERVED_SHARE = 0.2;
-/** Part of the reserve that stands idle on average. */
+/** Part of the reserve that is idle on average. */
 const IDLE_SHARE = 0.5;
-/** Time constant of the load, in milliseconds. */
+/** Time constant of the measured load, in milliseconds. */
 const TIME_CONSTANT_MS = 500;
 
 /** Load of the nested calls of one class, in slots. */
@@ -31,7 +30,7 @@
     updatedAt: 0,
   }));
 
-  /** Takes note of an offered request that is expected to take `workMs` of slot time. */
+  /** Records an offered request that is expected to take `workMs` of slot time. */
   note(now: number, request: RequestContext, workMs: number): void {
     if (request.depth === 0) return;
     const load = this.loads[rankOf(request.criticality)]!;
--- a/src/core/queue/waiting-queue.ts
+++ b/src/core/queue/waiting-queue.ts
@@ -13,7 +13,7 @@
   readonly giveUpAt: number;
 }
 
-/** Order of waiting requests; holds no policy about refusals. */
+/** Orders waiting requests; the gate decides when to refuse them. */
 export interface WaitingQueue {
   readonly length: number;
   add(waiting: WaitingRequest): void;
