--- a/src/core/retry/retry-budget.ts
+++ b/src/core/retry/retry-budget.ts
@@ -3,7 +3,6 @@
  * SRE book (chapter 22) and of Finagle.
  */
 
-/** Parameters of {@link RetryBudget}. */
 export interface RetryBudgetOptions {
   /** Tokens earned by one success. */
   readonly ratio: number;
@@ -22,7 +21,7 @@
     this.tokens = options.capacity;
   }
 
-  /** A request succeeded. */
+  /** Adds the tokens earned by one success. */
   earn(): void {
     this.tokens = Math.min(this.options.capacity, this.tokens + this.options.ratio);
   }
--- a/src/core/retry/retry-policy.ts
+++ b/src/core/retry/retry-policy.ts
@@ -6,18 +6,18 @@
 import { backoff } from './backoff.js';
 import type { RetryBudget } from './retry-budget.js';
 
-/** What the router knows that bears on a retry. */
+/** Router state on which a retry decision depends. */
 export interface RetryEnvironment {
   readonly now: number;
-  /** Whether a target clearly has room for the request. */
+  /** Whether a target clearly has spare capacity for the request. */
   readonly hasSpareCapacity: boolean;
   /** Typical time of a request at the service, in milliseconds. */
   readonly typicalLatencyMs: number;
-  /** Retry time to report, in milliseconds; asked only when the request is given up. */
+  /** Retry time to report, in milliseconds; called only when the request is given up. */
   retryAfterMs(): number;
 }
 
-/** Code of a request given up after an outcome. */
+/** Result code of a request that is given up, by the outcome of its last attempt. */
 const GIVE_UP_CODES: Readonly<Record<AttemptOutcome, ResultCode>> = {
   success: ResultCode.Ok,
   overloaded: ResultCode.TargetRefused,
@@ -36,14 +36,14 @@
   'failed',
 ]);
 
-/** Decides on retries of one service; draws on its budget. */
+/** Decides on retries to one service, within its retry budget. */
 export class RetryPolicy {
   constructor(
     private readonly budget: RetryBudget,
     private readonly random: Random,
   ) {}
 
-  /** Decides; takes a token when it says retry. */
+  /** Decides on a retry, and takes a token of the budget for it. */
   decide(request: RequestContext, state: RetryState, environment: RetryEnvironment): RetryDecision {
     const { lastOutcome } = state;
     const giveUp = (code: ResultCode, detail: string): RetryDecision => ({
@@ -58,14 +58,14 @@
     if (environment.now + delayMs + environment.typicalLatencyMs > request.deadline) {
       return giveUp(ResultCode.DeadlineUnreachable, 'no time left for another attempt');
     }
-    // A leaving target refuses each request once; these retries are not load.
+    // A draining target refuses each request once; these retries add no load.
     if (lastOutcome !== 'draining' && !this.budget.spend()) {
       return giveUp(ResultCode.RetryBudgetExhausted, 'retry budget exhausted');
     }
     return { type: 'retry', delayMs };
   }
 
-  /** Attempts that were not run go to another target at once; others back off. */
+  /** The first retry goes to another target at once if the attempt was not run; others back off. */
   private delay({ lastOutcome, attemptsMade }: RetryState): number {
     if (attemptsMade === 1 && lastOutcome !== 'failed') return 0;
     return backoff(this.random, attemptsMade);
--- a/src/core/retry/retry.test.ts
+++ b/src/core/retry/retry.test.ts
@@ -123,6 +123,6 @@
   assert.ok(late > 20 * first && late <= MAX_RETRY_AFTER_MS * 1.5);
   const spread = new Set(['a', 'b', 'c', 'd'].map((id) => at(60_000, id)));
   assert.equal(spread.size, 4);
-  // A quiet second ends the overload.
+  // A second without refusals ends the overload.
   assert.equal(at(62_000), first);
 });
