--- a/src/core/quota/quota-counter.test.ts
+++ b/src/core/quota/quota-counter.test.ts
@@ -30,13 +30,13 @@
   assert.equal(counter.grant(2_000, { ...request(50), tenant: 'u' }, LIMIT).granted, 20);
 });
 
-test('what is expected is granted only while half of the bucket is left for what waits', () => {
+test('expected requests are granted only while half of the bucket is left for waiting ones', () => {
   const counter = new QuotaCounter(0);
   assert.equal(counter.grant(2_000, request(2, 30), LIMIT).granted, 10);
   assert.equal(counter.grant(2_000, request(4, 30), LIMIT).granted, 4);
 });
 
-test('refused requests get turns one after the other, when there is room for them', () => {
+test('refused requests get retry times one after the other, at the rate of the limit', () => {
   const counter = new QuotaCounter(0);
   counter.grant(2_000, request(20), LIMIT);
   assert.equal(counter.grant(2_000, request(3), LIMIT).retryAfterMs, 300);
@@ -44,7 +44,7 @@
   assert.equal(counter.grant(4_000, request(21), LIMIT).retryAfterMs, 100);
 });
 
-test('what is given back can be granted again', () => {
+test('returned requests can be granted again', () => {
   const counter = new QuotaCounter(0);
   counter.grant(2_000, request(20), LIMIT);
   assert.equal(counter.grant(2_000, request(5, 0, 3), LIMIT).granted, 3);
--- a/src/core/quota/quota-counter.ts
+++ b/src/core/quota/quota-counter.ts
@@ -1,7 +1,7 @@
 /**
- * Counts the requests of tenants for all nodes: one token bucket a tenant, out of which nodes are granted
- * requests in batches. A counter begins with empty buckets, so that one which takes over never adds to what
- * the one before it granted.
+ * Counts tenants' requests for all nodes, with one token bucket per tenant from which nodes are granted
+ * requests in batches. A counter begins with empty buckets, so that one that takes over never adds to what
+ * its predecessor granted.
  */
 
 /** Requests that a tenant may make over all nodes together. */
@@ -11,23 +11,23 @@
   readonly burst: number;
 }
 
-/** What a node asks for one tenant. */
+/** A node's request for grants for one tenant. */
 export interface QuotaRequest {
   readonly tenant: string;
-  /** Requests that wait for the answer. */
+  /** Requests that wait for the reply. */
   readonly waiting: number;
   /** Requests that are expected soon. */
   readonly ahead: number;
-  /** Requests that were granted and not made. */
+  /** Granted requests that were not made. */
   readonly returned: number;
 }
 
-/** The answer for one tenant. */
+/** The reply for one tenant. */
 export interface QuotaGrant {
   readonly tenant: string;
   /** Requests that may be made; those that wait come first. */
   readonly granted: number;
-  /** For those that wait and are not granted: time until there is room for them, in milliseconds. */
+  /** Time until the waiting requests that were not granted can be made, in milliseconds. */
   readonly retryAfterMs: number;
 }
 
@@ -35,25 +35,25 @@
   tokens: number;
   /** Time up to which tokens have been added. */
   filledAt: number;
-  /** Time at which there is room for the next request of those that were refused. */
+  /** Time by which all requests that were refused can be made. */
   nextRetryAt: number;
 }
 
 const MS_PER_SECOND = 1_000;
-/** Share of a bucket that is kept for requests that wait. */
+/** Share of the burst that is kept for waiting requests. */
 const WAITING_RESERVE_SHARE = 0.5;
-/** A bucket holds at least this many requests, or small tenants could make none. */
+/** Smallest capacity of a bucket; tenants with a lower burst could make no request. */
 const MIN_BURST = 1;
-/** Longest time after which refused callers are told to come back, in milliseconds. */
+/** Longest retry time for refused callers, in milliseconds. */
 const MAX_RETRY_AFTER_MS = 5_000;
 
-/** See the module comment; times are those of a monotonic clock, in milliseconds. */
+/** Token buckets of all tenants; times are those of a monotonic clock, in milliseconds. */
 export class QuotaCounter {
   private readonly buckets = new Map<string, Bucket>();
 
   constructor(private readonly startedAt: number) {}
 
-  /** Grants what there is room for. */
+  /** Grants as many requests as the tenant's bucket allows. */
   grant(now: number, request: QuotaRequest, limit: QuotaLimit): QuotaGrant {
     const bucket = this.refill(now, request, limit);
     const forWaiting = Math.min(request.waiting, Math.floor(bucket.tokens));
@@ -84,7 +84,7 @@
   return Math.max(0, Math.min(wanted, Math.floor(tokens - burst * WAITING_RESERVE_SHARE)));
 }
 
-/** Each refused request gets a turn of its own, so that callers do not come back together. */
+/** Spaces refused requests at the rate of the limit, so that callers do not come back together. */
 function scheduleRetries(
   bucket: Bucket,
   now: number,
--- a/src/core/quota/quota-share.test.ts
+++ b/src/core/quota/quota-share.test.ts
@@ -1,6 +1,7 @@
 /**
- * Nodes that share tenants' limits over a network that loses and delays messages, with counters that are
- * restarted: the bound over each window, and that nobody within a limit is refused while all are connected.
+ * Simulates nodes that share a tenant's limit over a network that loses and delays messages, with counters
+ * that restart. No window may exceed the bound, and no request within the limit may be refused while all
+ * nodes are connected.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -27,7 +28,7 @@
   return { share, pass: (milliseconds) => (now += milliseconds), now: () => now };
 }
 
-test('a request waits for a grant, and further ones take what was granted ahead', () => {
+test('a request waits for a grant, and further ones use what was granted ahead', () => {
   const { share, now } = createShare();
   const decisions: QuotaDecision[] = [];
   share.admit('t', LIMIT, (decision) => decisions.push(decision));
@@ -41,7 +42,7 @@
   );
 });
 
-test('what came after the question waits for the next one', () => {
+test('a request that comes after a quota request waits for the next one', () => {
   const { share, now } = createShare();
   const decisions: string[] = [];
   share.admit('t', LIMIT, ({ type }) => decisions.push(`first ${type}`));
@@ -52,7 +53,7 @@
   assert.equal(share.createRequests()[0]?.waiting, 1);
 });
 
-test('a grant ends by itself, counted from the question, and goes back', () => {
+test('a grant expires, counted from its request, and is returned', () => {
   const { share, pass, now } = createShare();
   const lifetimeMs = grantLifetimeMs(LIMIT, ALLOWANCE);
   share.admit('t', LIMIT, () => {});
@@ -67,7 +68,7 @@
   assert.equal(share.createRequests()[0]?.returned, 3);
 });
 
-test('a grant that comes after its end decides nothing', () => {
+test('a grant that arrives after its expiry admits nothing', () => {
   const { share, pass, now } = createShare();
   const decisions: string[] = [];
   share.admit('t', LIMIT, ({ type }) => decisions.push(type));
@@ -78,7 +79,7 @@
   assert.deepEqual(decisions, ['uncounted']);
 });
 
-test('a request that was not made is given back', () => {
+test('a granted request that was not made is returned', () => {
   const { share, pass, now } = createShare();
   const decisions: QuotaDecision[] = [];
   const admit = (): unknown => share.admit('t', LIMIT, (decision) => decisions.push(decision));
@@ -89,14 +90,18 @@
   assert.ok(first?.type === 'granted');
   share.giveBack(first.token);
   admit();
-  assert.equal(decisions.length, 2, 'it serves the next request');
+  assert.equal(decisions.length, 2, 'it is used for the next request');
   pass(10_000);
   share.giveBack(first.token);
   admit();
-  assert.equal(share.createRequests()[0]?.returned, 1, 'or goes back when its life is over');
+  assert.equal(
+    share.createRequests()[0]?.returned,
+    1,
+    'or is returned to the counter when it has expired',
+  );
 });
 
-test('a request waits for so long at most, and a cancelled one no more', () => {
+test('a request waits for a bounded time, and a cancelled one gets no decision', () => {
   const { share, pass } = createShare();
   const decisions: string[] = [];
   share.admit('t', LIMIT, ({ type }) => decisions.push(type));
@@ -113,7 +118,7 @@
   assert.equal(share.isWaiting, false);
 });
 
-test('grants live longer where the allowance is large for the rate, and never beyond it', () => {
+test('grants last longer when the allowance is large for the rate, and stay within it', () => {
   for (const requestsPerSecond of [1, 5, 20, 100, 1_000]) {
     const limit = { requestsPerSecond, burst: requestsPerSecond };
     const lifetimeMs = grantLifetimeMs(limit, ALLOWANCE);
@@ -124,7 +129,7 @@
   }
 });
 
-/** One node of the played fleet. */
+/** One node of the simulated fleet. */
 interface SimulatedNode {
   readonly share: QuotaShare;
   disconnectedUntil: number;
@@ -150,12 +155,12 @@
 
 const STEP_MS = 5;
 const DURATION_MS = 14_000;
-/** Longest way of a message, in milliseconds. */
+/** Longest delay of a message, in milliseconds. */
 const MAX_DELAY_MS = 12;
 const REQUEST_INTERVAL_MS = 20;
 const REPLY_TIMEOUT_MS = 300;
 
-/** Plays a fleet; returns the times of admitted requests, and how many were not. */
+/** Simulates a fleet; returns the times of admitted requests, and how many were not admitted. */
 function simulateFleet({ seed, nodes, load, partitions, restarts }: Scenario): {
   readonly admitted: readonly number[];
   readonly denied: number;
@@ -239,7 +244,7 @@
     (1 + ALLOWANCE.overshoot) +
   ALLOWANCE.slack;
 
-test('no window holds more than the bound, whatever is cut off or restarted', () => {
+test('no window holds more than the bound, whichever nodes are disconnected or counters restarted', () => {
   const scenario = fc.record({
     seed: fc.nat(),
     nodes: fc.integer({ min: 1, max: 12 }),
@@ -260,7 +265,7 @@
   );
 });
 
-test('nobody within the limit is refused while all are connected', () => {
+test('no request within the limit is refused while all nodes are connected', () => {
   fc.assert(
     fc.property(fc.nat(), fc.integer({ min: 1, max: 12 }), (seed, nodes) => {
       const { denied } = simulateFleet({ seed, nodes, load: 0.6, partitions: [], restarts: [] });
--- a/src/core/quota/quota-share.ts
+++ b/src/core/quota/quota-share.ts
@@ -1,13 +1,13 @@
 /**
- * A node's part of tenants' limits: requests that were granted to it in batches and not made yet, and
- * requests that wait for a grant. Grants end by themselves, so that what a cut-off node holds is bounded.
+ * A node's share of tenants' limits: requests that were granted to it in batches and not made yet, and
+ * requests that wait for a grant. Grants expire, so that what a disconnected node holds is bounded.
  */
 import type { QuotaGrant, QuotaLimit, QuotaRequest } from './quota-counter.js';
 
-/** A request that was granted, for giving it back. */
+/** A granted request, which can be returned. */
 export interface QuotaToken {
   readonly tenant: string;
-  /** Time before which it was not granted. */
+  /** When the grant was requested: it was not granted earlier. */
   readonly requestedAt: number;
 }
 
@@ -16,10 +16,10 @@
   | { readonly type: 'granted'; readonly token: QuotaToken }
   /** The tenant is over its limit. */
   | { readonly type: 'refused'; readonly retryAfterMs: number }
-  /** The node that counts was not reached in time. */
+  /** The node that counts did not reply in time. */
   | { readonly type: 'uncounted' };
 
-/** Takes a decision, once. */
+/** Receives the decision, once. */
 export type OnQuotaDecision = (decision: QuotaDecision) => void;
 
 interface Batch {
@@ -36,36 +36,36 @@
   limit: QuotaLimit;
   readonly batches: Batch[];
   readonly waiting: WaitingRequest[];
-  /** How many of those that wait the question under way is about. */
+  /** Number of waiting requests that the outstanding quota request covers. */
   requestedCount: number;
   returned: number;
   readonly demand: DemandMeter;
 }
 
-/** Time that a request waits for a grant, in milliseconds. */
+/** Longest time that a request waits for a grant, in milliseconds. */
 const MAX_WAIT_MS = 1_000;
-/** Time for which a node asks ahead, in milliseconds. */
+/** Time ahead for which a node requests grants, in milliseconds. */
 const LOOKAHEAD_MS = 500;
 const MS_PER_SECOND = 1_000;
 
-/** What the operators allow beyond the limits, which covers grants that are used late. */
+/** Excess over the limits that operators allow; it covers grants that are used late. */
 export interface QuotaAllowance {
   /** Window over which requests are counted, in milliseconds. */
   readonly windowMs: number;
-  /** Share of what the limit lets through in a window. */
+  /** Allowed excess, as a share of what the limit admits in a window. */
   readonly overshoot: number;
-  /** Requests in a window. */
+  /** Further allowed excess, in requests per window. */
   readonly slack: number;
 }
 
-/** Part of the allowance that is used. */
+/** Share of the allowance that grants use. */
 const ALLOWANCE_SHARE = 0.8;
-/** Longest life of a grant, in milliseconds. */
+/** Longest lifetime of a grant, in milliseconds. */
 const MAX_GRANT_LIFETIME_MS = 3_000;
 
 /**
- * Life of a grant, in milliseconds. A window of length W holds grants of W and of one life before it: at
- * the rate of the limit, as many more as the allowance covers.
+ * Lifetime of a grant, in milliseconds. A window can contain requests granted in it or one lifetime before
+ * it. At the rate of the limit, the allowance covers the requests of that additional lifetime.
  */
 export function grantLifetimeMs(limit: QuotaLimit, allowance: QuotaAllowance): number {
   const { requestsPerSecond, burst } = limit;
@@ -76,10 +76,10 @@
   return Math.min(MAX_GRANT_LIFETIME_MS, lifetimeMs);
 }
 
-/** See the module comment. */
+/** Granted and waiting requests of one node, by tenant. */
 export class QuotaShare {
   private readonly shares = new Map<string, Share>();
-  /** Tenants of which requests wait. */
+  /** Tenants with waiting requests. */
   private readonly waitingTenants = new Set<string>();
 
   constructor(
@@ -94,9 +94,9 @@
   }
 
   /**
-   * Decides on a request, at once when a grant is in stock.
+   * Decides on a request, at once when a granted one is left.
    *
-   * @returns ends the wait without a decision
+   * @returns a function that ends the wait without a decision
    */
   admit(tenant: string, limit: QuotaLimit, onDecision: OnQuotaDecision): () => void {
     const share = this.shareOf(tenant, limit);
@@ -119,7 +119,7 @@
     };
   }
 
-  /** A granted request was not made. */
+  /** Returns a granted request that was not made. */
   giveBack({ tenant, requestedAt }: QuotaToken): void {
     const share = this.shares.get(tenant);
     if (share === undefined) return;
@@ -128,8 +128,8 @@
   }
 
   /**
-   * What is to be asked now; empty: nothing. The answer goes to {@link onGrants}. What is expected is asked
-   * for together with what waits: a question of its own would wake both nodes once more.
+   * Requests for the node that counts; empty when nothing waits. The reply goes to {@link onGrants}.
+   * Grants for expected requests are requested along: a separate message would wake both nodes once more.
    */
   createRequests(): readonly QuotaRequest[] {
     return [...this.waitingTenants].map((tenant) =>
@@ -137,7 +137,7 @@
     );
   }
 
-  /** @param requestedAt time before which the requests were not granted */
+  /** @param requestedAt when the grants were requested */
   onGrants(grants: readonly QuotaGrant[], requestedAt: number): void {
     for (const grant of grants) {
       const share = this.shares.get(grant.tenant);
@@ -145,12 +145,12 @@
     }
   }
 
-  /** The question was not answered; what waits is asked for again. */
+  /** The quota request got no reply; grants for waiting requests are requested again. */
   onNoAnswer(): void {
     for (const share of this.shares.values()) share.requestedCount = 0;
   }
 
-  /** Ends waits that have lasted too long. */
+  /** Decides on requests that have waited too long, as uncounted. */
   endWaits(): void {
     for (const tenant of [...this.waitingTenants]) {
       const share = this.shares.get(tenant)!;
@@ -225,7 +225,7 @@
   }
 }
 
-/** Requests of one tenant at this node in the present and the last stretch of time. */
+/** Requests of one tenant at this node in the current and the previous interval. */
 class DemandMeter {
   private interval = -Infinity;
   private current = 0;
@@ -236,7 +236,7 @@
     this.current += 1;
   }
 
-  /** Requests that are expected in the next stretch. */
+  /** Requests that are expected in the next interval. */
   expected(now: number): number {
     this.advance(now);
     return Math.max(this.current, this.previous);
