--- a/src/core/quarantine/served-requests.ts
+++ b/src/core/quarantine/served-requests.ts
@@ -1,11 +1,10 @@
-/** Remembers which requests were answered last, and to callers of which services, up to a bound. */
+/** Records which requests were answered last, and to callers of which services, up to a bound. */
 
-/** See the module comment. */
 export class ServedRequests {
-  /** Callers by content, in the order of the last answers. */
+  /** Callers by content, the least recently answered content first. */
   private readonly callers = new Map<string, Set<string>>();
 
-  /** @param capacity contents that are remembered */
+  /** @param capacity largest number of contents */
   constructor(private readonly capacity: number) {}
 
   note(content: string, caller: string): void {
--- a/src/core/quarantine/suspect-table.test.ts
+++ b/src/core/quarantine/suspect-table.test.ts
@@ -14,15 +14,14 @@
   return { target, ageMs: 0, requests: contents.map((content) => key(content)) };
 }
 
-/** A table in which targets ended under a request. */
-function tableWith(fingerprint: string, crashes: number): SuspectTable {
+/** A table in which targets crashed under a request. */
+function tableWith(fingerprint: string, count: number): SuspectTable {
   const table = new SuspectTable();
-  for (let index = 0; index < crashes; index += 1)
-    table.noteEnd(0, crash(`t${index}`, fingerprint));
+  for (let index = 0; index < count; index += 1) table.noteEnd(0, crash(`t${index}`, fingerprint));
   return table;
 }
 
-test('a request is free after one end, held after two, barred after three', () => {
+test('a request is free after one crash, held after two, barred after three', () => {
   const types = [0, 1, 2, 3, 4].map((crashes) => tableWith('a', crashes).check(0, key('a')).type);
   assert.deepEqual(types, ['free', 'free', 'held', 'barred', 'barred']);
 });
@@ -31,9 +30,13 @@
   assert.equal(tableWith('a', BARRED_CRASHES).check(0, key('b')).type, 'free');
 });
 
-test('an end that is heard of again is no second one', () => {
+test('a crash that is reported again does not count twice', () => {
   const table = tableWith('a', 1);
-  assert.deepEqual(table.noteEnd(0, crash('t0', 'a', 'b')), [key('b')], 'news for the other');
+  assert.deepEqual(
+    table.noteEnd(0, crash('t0', 'a', 'b')),
+    [key('b')],
+    'new for the other request',
+  );
   assert.equal(table.endsOf(key('a')), 1);
 });
 
@@ -45,7 +48,7 @@
   assert.equal(table.admit(2 * HOLD_MS, key('a')).type, 'free');
 });
 
-test('a held caller is told when the next trial is due', () => {
+test('a held request gets the time until the next trial', () => {
   const verdict = tableWith('a', 2).admit(1_000, key('a'));
   assert.ok(verdict.type === 'held');
   assert.equal(verdict.retryAfterMs, HOLD_MS - 1_000);
@@ -53,7 +56,7 @@
   assert.deepEqual(verdict.targets, ['t0', 't1']);
 });
 
-test('a barred request is not tried while somebody asks for it', () => {
+test('a barred request is not tried while it is still requested', () => {
   const table = tableWith('a', BARRED_CRASHES);
   for (let now = 0; now < 2 * BARRED_TTL_MS; now += BARRED_TTL_MS / 2) {
     table.expire(now);
@@ -61,13 +64,13 @@
   }
 });
 
-test('a barred request that nobody asks for is forgotten', () => {
+test('a barred request that is no longer requested is discarded', () => {
   const table = tableWith('a', BARRED_CRASHES);
   table.expire(BARRED_TTL_MS + 1);
   assert.equal(table.size, 0);
 });
 
-test('a request that was answered is not suspect, however many targets end', () => {
+test('a request that was answered is not suspect, however many targets crash', () => {
   const table = new SuspectTable();
   table.noteServed(key('popular'));
   for (let index = 0; index < 10; index += 1) table.noteEnd(0, crash(`t${index}`, 'popular', 'x'));
@@ -82,14 +85,14 @@
   assert.equal(table.size, 0);
 });
 
-test('the number of suspects is bounded, and those with most ends stay', () => {
+test('the number of suspects is bounded, and those with most crashes stay', () => {
   const table = tableWith('cause', BARRED_CRASHES);
   for (let index = 0; index < 5_000; index += 1) table.noteEnd(0, crash(`u${index}`, `r${index}`));
   assert.ok(table.size <= 1_024);
   assert.equal(table.check(0, key('cause')).type, 'barred');
 });
 
-test('what nodes have seen adds up to the same, in whatever order and how often they hear it', () => {
+test('reports of crashes merge to the same table, in any order and however often received', () => {
   const crashes = fc.array(
     fc.record({
       target: fc.constantFrom('t0', 't1', 't2', 't3'),
@@ -115,14 +118,14 @@
       for (const content of ['a', 'b', 'c']) {
         const count = first.endsOf(key(content));
         assert.equal(second.endsOf(key(content)), count);
-        assert.equal(third.endsOf(key(content)), count, 'told as a whole');
+        assert.equal(third.endsOf(key(content)), count, 'sent as a whole');
       }
     }),
     { seed: 1, numRuns: 300 },
   );
 });
 
-/** Targets that ended under one content, each called by another service. */
+/** A table in which targets crashed under one content, each called by another service. */
 function tableOfCallers(...callers: readonly string[]): SuspectTable {
   const table = new SuspectTable();
   callers.forEach((caller, index) =>
@@ -138,7 +141,7 @@
   }
 });
 
-test('where one caller is answered the ends under each other caller count alone', () => {
+test('when one caller was answered, the crashes under each other caller count separately', () => {
   const table = tableOfCallers('front', 'back', 'back', 'back');
   table.noteServed(key('a', 'front'));
   assert.equal(table.check(0, key('a', 'front')).type, 'free');
--- a/src/core/quarantine/suspect-table.ts
+++ b/src/core/quarantine/suspect-table.ts
@@ -1,32 +1,32 @@
 /**
- * Requests under which targets ended, and what follows: a request that ends each target that begins
- * to run it must not be run again and again. Pure: ends and answers in, verdicts out.
+ * Quarantine of requests that crash targets: a request that crashes each target that runs it must not
+ * be run again and again. Pure: takes crashes and answers, returns verdicts.
  *
- * All that ran at a target when it ended is suspect. What tells the cause from the others is that
- * others are answered by some target, before or after; the cause never is. Ends are kept as a set of
- * targets' lives, so that what several nodes have seen adds up, in whatever order it is heard.
+ * Every request that ran at a target when it crashed is suspect. No target ever answers the request that
+ * caused the crash, while others are answered, before or after. Crashes are kept as a set of incarnations
+ * of targets, so that the reports of several nodes merge to the same table, in any order.
  *
- * Requests of the same content count together, whoever calls: mostly the caller makes no difference, and
- * each service that calls would otherwise end three targets. Where another service's call of the same
- * content has been answered it does make one, and the ends under each caller count alone.
+ * Requests with the same content count together, whoever calls: mostly the caller makes no difference, and
+ * each calling service would otherwise crash three targets. When a call with the same content from another
+ * service has been answered, the caller does matter, and the crashes under each caller count separately.
  *
  * @see docs/design/quarantine.md
  */
 import { ServedRequests } from './served-requests.js';
 
-/** What a request is, whatever the identity of its try. */
+/** Identity of a request that is the same for all of its attempts. */
 export interface RequestKey {
   /** Hash of what was sent. */
   readonly content: string;
-  /** Service on whose machine it began. */
+  /** Service on whose machine the request originated. */
   readonly caller: string;
 }
 
-/** One end of a target, with the requests that ran there. */
+/** One crash of a target, with the requests that ran there. */
 export interface TargetEnd {
-  /** Life of the target: a text that differs from life to life, over all targets. */
+  /** Incarnation of the target: a text that is unique over all targets and their incarnations. */
   readonly target: string;
-  /** Time since the end, in milliseconds. */
+  /** Time since the crash, in milliseconds. */
   readonly ageMs: number;
   readonly requests: readonly RequestKey[];
 }
@@ -34,38 +34,38 @@
 /** Whether a request may be run. */
 export type Verdict =
   | { readonly type: 'free' }
-  /** A trial is due later; `barred`: none is due while the request is remembered. */
+  /** `held`: a trial follows later; `barred`: none while the request is retained. */
   | {
       readonly type: 'held' | 'barred';
-      /** Lives of targets that ended under the request. */
+      /** Incarnations of targets that crashed under the request. */
       readonly targets: readonly string[];
-      /** Time since the first of these ends, in milliseconds. */
+      /** Time since the first of these crashes, in milliseconds. */
       readonly ageMs: number;
       readonly retryAfterMs: number;
     };
 
-/** Ends after which a request is run again only now and then. */
+/** Crashes after which a request is run only in a trial after each pause. */
 export const HELD_ENDS = 2;
-/** Ends after which a request is not run any more. */
+/** Crashes after which a request is not run any more. */
 export const BARRED_CRASHES = 3;
 
-/** Pause before a held request is tried again: most targets are back after it, in milliseconds. */
+/** Pause before a trial of a held request, in milliseconds: most targets have restarted by then. */
 const HOLD_MS = 5_000;
-/** Told to callers of a barred request, in milliseconds. */
+/** Retry time returned for a barred request, in milliseconds. */
 const BARRED_RETRY_MS = 30_000;
-/** Life of the suspicion of a request that is not barred, in milliseconds. */
+/** Time for which a request that is not barred stays suspect, in milliseconds. */
 const SUSPECT_TTL_MS = 60_000;
-/** A barred request is forgotten when nobody has asked for it for this long, in milliseconds. */
+/** A barred request is discarded when it was not requested for this long, in milliseconds. */
 const BARRED_TTL_MS = 600_000;
-/** Ends that are kept of one content; more change nothing. */
+/** Crashes that are kept per content; more change nothing. */
 const MAX_CRASHES = 8;
-/** Requests that are remembered as suspect. */
+/** Contents that are retained as suspect. */
 const MAX_SUSPECTS = 1_024;
-/** Requests that are remembered as answered. */
+/** Contents that are retained as answered. */
 const MAX_SERVED = 2_048;
 const FREE: Verdict = { type: 'free' };
 
-/** An end of a target, as one suspect sees it. */
+/** A crash of a target, as recorded for one suspect. */
 interface SuspectedCrash {
   /** Local monotonic time. */
   readonly at: number;
@@ -74,17 +74,17 @@
 
 /** All requests of one content. */
 interface Suspect {
-  /** By life of target. */
+  /** By incarnation of the target. */
   readonly crashes: Map<string, SuspectedCrash>;
-  /** Local monotonic time of the last end or trial. */
+  /** Local monotonic time of the last crash or trial. */
   lastCrashOrTrialAt: number;
-  /** Local monotonic time of the last trial at the target beside this node. */
+  /** Local monotonic time of the last trial at the local target. */
   lastLocalTrialAt: number;
-  /** Local monotonic time at which somebody last asked for the request. */
+  /** Local monotonic time at which the request last arrived at this node. */
   lastRequestedAt: number;
 }
 
-/** See the module comment. */
+/** Suspect requests, and whether they may be run. */
 export class SuspectTable {
   private readonly suspects = new Map<string, Suspect>();
   private readonly served = new ServedRequests(MAX_SERVED);
@@ -105,9 +105,9 @@
   }
 
   /**
-   * Takes in an end.
+   * Records a crash.
    *
-   * @returns the requests for which it is news; those that have been answered are not suspect
+   * @returns the requests for which it was not known yet; those that have been answered are not suspect
    */
   noteEnd(now: number, { target, ageMs, requests }: TargetEnd): readonly RequestKey[] {
     return requests.filter((request) => {
@@ -117,9 +117,9 @@
   }
 
   /**
-   * A target gave a whole answer to the request: it does not end targets.
+   * Records that a target gave a complete answer to the request, which shows that it does not crash targets.
    *
-   * @returns how many ends it was suspected of
+   * @returns how many crashes it was suspected of
    */
   noteServed(request: RequestKey): number {
     const crashes = this.endsOf(request);
@@ -131,12 +131,12 @@
     return crashes;
   }
 
-  /** Whether a target has answered the request lately. */
+  /** Whether a target has answered the request recently. */
   isServed({ content, caller }: RequestKey): boolean {
     return this.served.has(content, caller);
   }
 
-  /** Ends that the request is suspected of. */
+  /** Number of crashes that the request is suspected of. */
   endsOf(request: RequestKey): number {
     return this.countedCrashes(request).length;
   }
@@ -147,8 +147,8 @@
   }
 
   /**
-   * Whether the target beside this node may run a request. Nodes at which requests begin hold them
-   * until the same time, so that their trials come at once; all but the first are refused here.
+   * Whether the local target may run a request. Entry nodes hold a request until the same time, so
+   * that their trials arrive together; all but the first are refused here.
    */
   admitRun(now: number, request: RequestKey): Verdict {
     const crashes = this.countedCrashes(request);
@@ -161,7 +161,7 @@
     return FREE;
   }
 
-  /** Whether a request may be run; a trial of a held one puts off the next. */
+  /** Whether a request may be run; a trial of a held request postpones the next. */
   admit(now: number, request: RequestKey): Verdict {
     const suspect = this.suspects.get(request.content);
     if (suspect === undefined) return FREE;
@@ -183,7 +183,7 @@
       : refused('held', now, crashes, holdLeftMs);
   }
 
-  /** All ends that are remembered, for a node that hears of them for the first time. */
+  /** All retained crashes, for a node that receives them for the first time. */
   ends(now: number): readonly TargetEnd[] {
     const byTarget = new Map<string, { ageMs: number; requests: RequestKey[] }>();
     for (const [content, { crashes }] of this.suspects) {
@@ -196,7 +196,7 @@
     return [...byTarget].map(([target, crash]) => ({ target, ...crash }));
   }
 
-  /** Forgets what is too old. */
+  /** Discards suspects that are too old. */
   expire(now: number): void {
     for (const [content, { crashes, lastCrashOrTrialAt, lastRequestedAt }] of this.suspects) {
       const isBarred = crashes.size >= BARRED_CRASHES;
@@ -213,7 +213,7 @@
     return crashes.filter(([, { callers }]) => callers.has(request.caller));
   }
 
-  /** Whether all callers under whose requests targets ended have been answered since. */
+  /** Whether all callers under whose requests targets crashed have been answered. */
   private isCleared(content: string, { crashes }: Suspect): boolean {
     return [...crashes.values()].every(({ callers }) =>
       [...callers].every((caller) => this.served.has(content, caller)),
@@ -244,7 +244,7 @@
     return suspect;
   }
 
-  /** The oldest of those with the fewest ends. */
+  /** Evicts the oldest of the suspects with the fewest crashes. */
   private evictOne(): void {
     let dropped: string | undefined;
     let fewestCrashes = Infinity;
