--- a/src/core/routing/failure-share.test.ts
+++ b/src/core/routing/failure-share.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { FailureShare } from './failure-share.js';
 
-test('a target that answers has no share, and one failure among few says little', () => {
+test('a target that answers has share 0, and one failure among few has little effect', () => {
   const share = new FailureShare();
   assert.equal(share.at(0), 0);
   for (let index = 0; index < 10; index += 1) share.note(0, 'success');
@@ -11,7 +11,7 @@
   assert.ok(share.at(0) < 0.1);
 });
 
-test('the share comes near the true one, and timeouts count', () => {
+test('the share is close to the true one, and timeouts count', () => {
   const share = new FailureShare();
   for (let index = 0; index < 100; index += 1) {
     share.note(index * 10, index % 5 === 0 ? 'failed' : index % 5 === 1 ? 'timeout' : 'success');
@@ -19,7 +19,7 @@
   assert.ok(Math.abs(share.at(1_000) - 0.4) < 0.05);
 });
 
-test('what was not sent, or was given up, does not count', () => {
+test('attempts that were not run, or were cancelled, do not count', () => {
   const share = new FailureShare();
   share.note(0, 'failed');
   const before = share.at(0);
@@ -29,7 +29,7 @@
   assert.equal(share.at(0), before);
 });
 
-test('old failures are forgotten', () => {
+test('old failures decay', () => {
   const share = new FailureShare();
   for (let index = 0; index < 50; index += 1) share.note(0, 'failed');
   assert.ok(share.at(0) > 0.9);
--- a/src/core/routing/failure-share.ts
+++ b/src/core/routing/failure-share.ts
@@ -1,12 +1,12 @@
 /**
- * Share of late attempts that were sent to a target and got no answer, or its own failure as one, as the
- * gate sees it.
+ * Share of the recent attempts sent to a target that got no answer, or a failure of the target itself as
+ * the answer, as the gate sees it.
  */
 import type { AttemptOutcome } from '../request.js';
 
-/** Time after which an attempt counts for a third, in milliseconds. */
+/** Time in which the weight of an attempt decays to about a third, in milliseconds. */
 const TIME_CONSTANT_MS = 2_000;
-/** Answered attempts that are assumed before any was seen, so that one failure says little. */
+/** Answered attempts added to those counted, so that one failure among few has little effect. */
 const ASSUMED_ANSWERS = 5;
 
 /** Counts that decay with time. */
@@ -15,7 +15,7 @@
   private ended = 0;
   private updatedAt = 0;
 
-  /** Takes in the end of an attempt; one that was not sent, or given up, says nothing. */
+  /** Records the end of an attempt; one that was not run, or was cancelled, does not count. */
   note(now: number, outcome: AttemptOutcome): void {
     const isFailed = outcome === 'failed' || outcome === 'timeout';
     if (!isFailed && outcome !== 'success') return;
@@ -24,7 +24,7 @@
     if (isFailed) this.failed += 1;
   }
 
-  /** From 0 to 1. */
+  /** The share, from 0 to 1. */
   at(now: number): number {
     this.decay(now);
     return this.failed / (this.ended + ASSUMED_ANSWERS);
--- a/src/core/routing/load-score.ts
+++ b/src/core/routing/load-score.ts
@@ -1,5 +1,5 @@
 /**
- * Share of a target's limit that is taken: the measure by which routing compares targets.
+ * Score by which routing compares targets: the share of a target's limit that is taken.
  * A slow target stays full for longer and so gets fewer requests; latency itself is left out,
  * because its noise over different kinds unbalances equal targets. A target that leaves attempts
  * without an answer counts as fuller.
@@ -9,29 +9,29 @@
 /** Weight of the share of attempts that a target leaves without an answer. */
 const FAILURE_WEIGHT = 2;
 
-/** Where the router stands. */
+/** Location of the router. */
 export interface Locality {
   readonly zone: string;
   readonly region: string;
 }
 
-/** Added to the score of a target in another zone of the region: bytes between zones are dear. */
+/** Added to the score of a target in another zone of the region: traffic between zones is expensive. */
 const OTHER_ZONE_PENALTY = 0.6;
-/** Share of its limit up to which a target has room. */
+/** Share of its limit above which a target counts as crowded. */
 const CROWDING_THRESHOLD = 0.8;
 /**
- * Weight of what a target is fuller than that. With it a target of the own zone is left before
- * requests wait there, though another zone is avoided as long as the own one has room.
+ * Weight of the share above that threshold. It makes the router leave a target of the local zone before
+ * requests wait there, though it avoids another zone as long as the local one has capacity.
  */
 const CROWDING_WEIGHT = 4;
-/** The same for a target in another region. */
+/** Added to the score of a target in another region. */
 const OTHER_REGION_PENALTY = 2;
-/** Time over which a target that joins takes its full share, in milliseconds. */
+/** Time after which a target that joins gets its full share of requests, in milliseconds. */
 const SLOW_START_MS = 2_000;
 /** Factor on the score of a target that has just joined. */
 const SLOW_START_FACTOR = 8;
 
-/** Limit of targets that have not reported yet: the mean of the others. */
+/** Limit assumed for targets that have not reported yet: the mean of the others. */
 export function computeDefaultLimit(targets: readonly TargetState[]): number {
   const reports = targets.flatMap((target) => target.lastReport() ?? []);
   if (reports.length === 0) return 1;
@@ -41,8 +41,8 @@
 /**
  * Score of a target; the lowest is best.
  *
- * @param defaultLimit limit of a target that has not reported; asked only then, since it takes a
- * look at every target
+ * @param defaultLimit limit of a target that has not reported; called only then, since it iterates
+ * over all targets
  */
 export function scoreOf(
   now: number,
@@ -57,7 +57,7 @@
   return loadScore + FAILURE_WEIGHT * target.failureShare(now);
 }
 
-/** Weighs much while targets are idle and little while they are full, so that load spills over. */
+/** Large compared with the load of idle targets, small with that of full ones: load spills over. */
 function distancePenalty({ view }: TargetState, { zone, region }: Locality): number {
   if (view.zone === zone) return 0;
   return view.region === region ? OTHER_ZONE_PENALTY : OTHER_REGION_PENALTY;
--- a/src/core/routing/outliers.ts
+++ b/src/core/routing/outliers.ts
@@ -1,16 +1,16 @@
 /**
  * Ejection of a target that fails while others do not (outlier detection, as in Envoy).
- * Whether an ejection is obeyed is for the router to decide, which never empties a service.
+ * The router decides whether an ejection takes effect; it never leaves a service without targets.
  */
 import type { AttemptOutcome } from '../request.js';
 
-/** Attempts in a row that could not reach the target. */
+/** Attempts in a row that could not reach a target, after which it is ejected. */
 const MAX_UNREACHABLE = 2;
-/** Attempts in a row that were sent and not answered. */
+/** Attempts in a row that were sent and not answered, after which a target is ejected. */
 const MAX_FAILED = 5;
-/** First ejection, in milliseconds; doubled with each that follows. */
+/** Duration of the first ejection, in milliseconds; doubled with each further one. */
 const FIRST_EJECTION_MS = 250;
-/** Longest ejection, in milliseconds. */
+/** Longest duration of an ejection, in milliseconds. */
 const MAX_EJECTION_MS = 4_000;
 
 type Verdict = 'alive' | 'unreachable' | 'failed' | 'unknown';
@@ -25,7 +25,7 @@
   cancelled: 'unknown',
 };
 
-/** Failures of one target in a row, and its ejection. */
+/** Consecutive failures of one target, and its ejection. */
 export class OutlierDetection {
   private unreachable = 0;
   private failed = 0;
@@ -33,7 +33,7 @@
   private ejectedUntil = -Infinity;
   private probing = false;
 
-  /** Takes in the outcome of one attempt. */
+  /** Records the outcome of one attempt. */
   noteOutcome(now: number, outcome: AttemptOutcome): void {
     const verdict = VERDICTS[outcome];
     this.probing = false;
@@ -49,7 +49,7 @@
     return now < this.ejectedUntil || (this.ejections > 0 && this.probing);
   }
 
-  /** Whether its attempts failed to reach it, so that none could succeed. */
+  /** Whether attempts could not reach the target, so that none could succeed. */
   get isUnreachable(): boolean {
     return this.unreachable >= MAX_UNREACHABLE;
   }
--- a/src/core/routing/target-choice.ts
+++ b/src/core/routing/target-choice.ts
@@ -12,8 +12,8 @@
 ) => TargetState;
 
 /**
- * Power of two choices (Mitzenmacher 2001): the better of two targets of the router's own
- * zone and two others, so that load spills over when the own zone is loaded.
+ * Power of two choices (Mitzenmacher 2001): the best of two targets of the local zone and two
+ * of other zones, so that load spills over when the local zone is loaded.
  */
 export const chooseByTwoChoices: TargetChoice = (now, candidates, locality, random) => {
   const local = candidates.filter(({ view }) => view.zone === locality.zone);
@@ -26,7 +26,7 @@
 export const chooseLeastLoaded: TargetChoice = (now, candidates, locality) =>
   findBest(now, candidates, candidates, locality);
 
-/** The fewest attempts of this router in progress; for comparison. */
+/** The candidate with the fewest attempts of this router in flight; for comparison. */
 export const chooseLeastOutstanding: TargetChoice = (_now, candidates, _locality, random) => {
   const start = random.nextInt(candidates.length);
   const rotated = [...candidates.slice(start), ...candidates.slice(0, start)];
@@ -70,7 +70,7 @@
   return best;
 }
 
-/** Up to two different members, in random order. */
+/** Up to two different targets, in random order. */
 function sampleTwo(targets: readonly TargetState[], random: Random): readonly TargetState[] {
   if (targets.length <= 1) return targets;
   const first = random.nextInt(targets.length);
--- a/src/core/routing/target-set.ts
+++ b/src/core/routing/target-set.ts
@@ -26,9 +26,9 @@
   }
 
   /**
-   * Eligible targets without the outliers. An ejection for unanswered attempts holds only
-   * while most targets are in, and none holds when no target would be left: a service is
-   * never emptied.
+   * Eligible targets without the outliers. An ejection for unanswered attempts applies only
+   * while most targets are not ejected, and none applies when no target would be left, so that
+   * a service always has targets.
    */
   healthy(now: number): readonly TargetState[] {
     const eligible = this.eligible();
@@ -52,7 +52,7 @@
   }
 }
 
-/** A target that has started again is slow at first and holds nothing of before. */
+/** A restarted target is slow at first, and what is known about it no longer applies. */
 function isNewIncarnation(known: TargetView, view: TargetView): boolean {
   if (known.incarnation === undefined || view.incarnation === undefined) return false;
   return known.incarnation !== view.incarnation;
--- a/src/core/routing/target-state.ts
+++ b/src/core/routing/target-state.ts
@@ -1,12 +1,12 @@
-/** What a router knows of one target. */
+/** What a router knows about one target. */
 import { AgedThreshold } from '../admission/aged-threshold.js';
 import type { AttemptReport, TargetView } from '../overload.js';
 import type { LoadReport } from '../request.js';
 import { OutlierDetection } from './outliers.js';
 
-/** Time after which a reported share of failures counts for a third, in milliseconds. */
+/** Time in which a reported share of failures decays to about a third, in milliseconds. */
 const FAILURE_DECAY_MS = 2_000;
-/** A load report older than this says nothing any more, in milliseconds. */
+/** Age at which a load report is outdated, in milliseconds. */
 const REPORT_VALID_MS = 1_000;
 
 /** Mutable state of one target. */
@@ -25,7 +25,7 @@
     public joinedAt: number,
   ) {}
 
-  /** Takes in the end of an attempt. */
+  /** Records the end of an attempt. */
   noteOutcome(now: number, outcome: AttemptReport): void {
     this.outstanding = Math.max(0, this.outstanding - 1);
     this.health.noteOutcome(now, outcome.outcome);
@@ -37,7 +37,7 @@
     return now - this.reportedAt <= REPORT_VALID_MS ? this.report : undefined;
   }
 
-  /** Requests at the target now: those reported, corrected by this router's own since. */
+  /** Requests at the target now: those reported, corrected by this router's attempts since then. */
   load(now: number): number {
     const report = this.freshReport(now);
     if (report === undefined) return this.outstanding;
@@ -45,7 +45,7 @@
     return Math.max(this.outstanding, report.inFlight + report.queued + since);
   }
 
-  /** Share of its attempts that the target left without an answer of late, 0 to 1. */
+  /** Share of recent attempts that the target left without an answer, 0 to 1. */
   failureShare(now: number): number {
     const share = this.report?.failureShare ?? 0;
     return share === 0 ? 0 : share * Math.exp((this.reportedAt - now) / FAILURE_DECAY_MS);
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Admission threshold for a kind. A stale one counts no more than the lowest that answers
-   * to other kinds carry, because the gate's own part is the same for all.
+   * Admission threshold for a kind. A stale one is capped at the lowest recent threshold of the
+   * other kinds, because the gate's own part is the same for all.
    */
   threshold(now: number, kind: string): number {
     const own = this.thresholds.get(kind);
--- a/src/core/routing/target-subset.test.ts
+++ b/src/core/routing/target-subset.test.ts
@@ -54,7 +54,7 @@
   );
 });
 
-test('a subset has eight targets of the own zone and six of others', () => {
+test('a subset has eight targets of the local zone and six of others', () => {
   const targets = createTargets(TARGETS);
   for (const caller of callers) {
     const zones = subsetOf(caller, targets).map((id) => targets.find((t) => t.id === id)!.zone);
@@ -82,7 +82,7 @@
   assert.ok(ratio > 1.3 && ratio < 2, `${ratio}`);
 });
 
-test('a target that comes or goes changes at most one place of a subset', () => {
+test('a target that joins or leaves changes at most one target of a subset', () => {
   const targets = createTargets(TARGETS);
   for (const caller of callers) {
     const before = new Set(subsetOf(caller, targets));
@@ -91,7 +91,7 @@
   }
 });
 
-test('what cannot be used is replaced and stays to be tried again', () => {
+test('unusable targets are replaced, and stay to be tried again', () => {
   const targets = createTargets(TARGETS);
   const isUsable = ({ zone }: Target): boolean => zone !== 'b';
   const subset = subsetOf('caller-1', targets, isUsable);
@@ -101,7 +101,7 @@
   assert.ok(subset.length > usable.length);
 });
 
-test('a caller with much under way uses more targets, up to all', () => {
+test('a caller with many requests in flight uses more targets, up to all', () => {
   const candidates = candidatesOf('caller-1', createTargets(TARGETS));
   assert.equal(chooseSubset(candidates, 'b', 2).length, 28);
   assert.equal(chooseSubset(candidates, 'b', 8).length, TARGETS);
--- a/src/core/routing/target-subset.ts
+++ b/src/core/routing/target-subset.ts
@@ -1,7 +1,8 @@
 /**
- * The targets of a service that one caller uses. In a large fleet a caller sends few requests to each
- * target, so that with all of them it knows the load of none. A subset reports its load more often, needs
- * fewer links, and is stable while nodes come and go (rendezvous hashing, weighted by capacity).
+ * The subset of a service's targets that one caller uses. In a large fleet a caller that used all targets
+ * would send few requests to each, and know the load of none. The targets of a subset report their load more
+ * often and need fewer links. The subset is stable while nodes join and leave (rendezvous hashing, weighted
+ * by capacity).
  */
 import { hashToUnit } from '../admission/admission-priority.js';
 
@@ -15,18 +16,18 @@
   readonly usable: boolean;
 }
 
-/** Targets of the caller's own zone in a subset that was not widened. */
+/** Targets of the caller's zone in a subset of width 1. */
 const LOCAL_TARGETS = 8;
-/** Targets of all other zones, for when the own one is lost, crowded or has too few. */
+/** Targets of all other zones, for when the caller's zone is lost, crowded or has too few. */
 const OTHER_TARGETS = 6;
 /**
- * Services with no more targets than this are used whole: a subset would save little, and the loads of
- * their targets would differ by more (each is in few subsets).
+ * Callers use all targets of services with no more than this: a subset would save little, and the loads
+ * of the targets would differ by more (each is in few subsets).
  */
 const WHOLE_SERVICE_TARGETS = 24;
 
 /**
- * Place of a target in a caller's order; the lowest come first. A target with twice the capacity is in
+ * Rank of a target in a caller's order; the lowest come first. A target with twice the capacity is in
  * twice as many subsets.
  *
  * @param capacity requests that the target serves at once, or any measure that is the same for all
@@ -36,11 +37,11 @@
 }
 
 /**
- * Chooses the subset. Targets that cannot be used stay in it, so that they are tried again, and do not
- * count, so that the next in order take their place.
+ * Chooses the subset. Unusable targets stay in it, so that they are tried again, but do not count, so that
+ * the next in order take their place.
  *
  * @param zone zone of the caller
- * @param width 1, or more when the caller has more requests under way than a subset should carry
+ * @param width 1, or more when the caller has more requests in flight than a subset should carry
  */
 export function chooseSubset<Candidate extends SubsetCandidate>(
   candidates: readonly Candidate[],
@@ -58,7 +59,7 @@
   return [...local, ...takeUsable(others, wanted - countUsable(local))];
 }
 
-/** The first of an order up to and including so many that can be used. */
+/** The first candidates, up to and including `count` usable ones. */
 function takeUsable<Candidate extends SubsetCandidate>(
   ordered: readonly Candidate[],
   count: number,
