--- a/src/core/limit/refusal-ceiling.ts
+++ b/src/core/limit/refusal-ceiling.ts
@@ -41,7 +41,7 @@
     this.nextStepAt = now + this.pauseMs;
   }
 
-  /** Raises the ceiling by one step after a ceiling's worth of answers without a refusal. */
+  /** Raises the ceiling by one step; the next step needs a ceiling's worth of answers first. */
   onSuccess(now: number, inFlight: number): void {
     this.pattern.note(now, false, inFlight, this.limit);
     if (this.ceiling === Infinity || now < this.nextStepAt) return;
--- a/src/core/quarantine/suspect-table.ts
+++ b/src/core/quarantine/suspect-table.ts
@@ -44,7 +44,7 @@
       readonly retryAfterMs: number;
     };
 
-/** Crashes after which a request is run only in a trial after each pause. */
+/** Crashes after which a request is run only in single trials with pauses between them. */
 export const HELD_ENDS = 2;
 /** Crashes after which a request is not run any more. */
 export const BARRED_CRASHES = 3;
--- a/src/core/quota/quota-share.ts
+++ b/src/core/quota/quota-share.ts
@@ -27,7 +27,7 @@
   count: number;
 }
 
-interface WaitingRequest {
+interface WaitingAdmission {
   readonly since: number;
   readonly onDecision: OnQuotaDecision;
 }
@@ -35,7 +35,7 @@
 interface Share {
   limit: QuotaLimit;
   readonly batches: Batch[];
-  readonly waiting: WaitingRequest[];
+  readonly waiting: WaitingAdmission[];
   /** Number of waiting requests that the outstanding quota request covers. */
   requestedCount: number;
   returned: number;
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Requests for the node that counts; empty when nothing waits. The reply goes to {@link onGrants}.
-   * Grants for expected requests are requested along: a separate message would wake both nodes once more.
+   * Quota requests for the node that counts; empty when no request waits. The reply goes to {@link onGrants}.
+   * They include expected requests, since a separate message would wake both nodes once more.
    */
   createRequests(): readonly QuotaRequest[] {
     return [...this.waitingTenants].map((tenant) =>
--- a/src/core/routing/outliers.ts
+++ b/src/core/routing/outliers.ts
@@ -54,7 +54,7 @@
     return this.unreachable >= MAX_UNREACHABLE;
   }
 
-  /** An attempt is sent; the first after an ejection is a probe. */
+  /** Records that an attempt is sent; the first after an ejection is a probe. */
   noteSent(): void {
     if (this.ejections > 0) this.probing = true;
   }
