--- a/src/core/admission/offered-load-controller.ts
+++ b/src/core/admission/offered-load-controller.ts
@@ -1,42 +1,40 @@
 /**
- * Admission threshold from the offered load: the threshold at which the load above it
- * just fills the slots. It is computed anew at each interval and not stepped, so it neither
- * winds up during the delay of the call chain nor needs many steps to come down.
+ * Sets the admission threshold from the offered load, so that the load above the threshold
+ * just fills the slots. The threshold is computed from scratch at each interval, not stepped,
+ * so it neither winds up during the delay of the call chain nor needs many steps to come down.
  *
- * It engages on a standing queue (the lowest wait of an interval above a bound, as in
- * CoDel) or on refusals, never on a burst that the queue takes.
+ * It engages on a standing queue (the lowest wait of an interval is above a bound, as in
+ * CoDel) that lasts or comes with refusals, never on a burst that the queue absorbs.
  *
  * @see docs/design/overload-control.md
  */
 import { OfferedLoad } from './offered-load.js';
 import type { GateState, ThresholdController } from './threshold-controller.js';
 
-/** Parameters of {@link OfferedLoadController}. */
 export interface OfferedLoadOptions {
   /** Length of a control interval, in milliseconds. */
   readonly intervalMs: number;
   /** Time constant of the offered load, in milliseconds. */
   readonly smoothingMs: number;
-  /** Time constant at which refused load is forgotten, in milliseconds. */
-  readonly memoryMs: number;
-  /** The same while slots are idle, in milliseconds. */
-  readonly idleMemoryMs: number;
+  /** Time constant of the decay of refused load, in milliseconds. */
+  readonly retentionMs: number;
+  /** Time constant of the decay of refused load while slots are idle, in milliseconds. */
+  readonly idleRetentionMs: number;
   /** Standing wait that engages the threshold, in milliseconds. */
   readonly engageWaitMs: number;
-  /** Time that the wait must stand before the threshold engages, in milliseconds. */
+  /** Time for which the wait must last before it engages without refusals, in milliseconds. */
   readonly engageAfterMs: number;
   /** Waiting requests per slot at which exactly the capacity is admitted. */
   readonly queuePerSlot: number;
-  /** Change of the admitted load per waiting request above that, in slots. */
+  /** Decrease of the admitted load per waiting request above that number, in slots. */
   readonly queueGain: number;
 }
 
-/** Values found by measurement; see the design note. */
 export const DEFAULT_OFFERED_LOAD_OPTIONS: OfferedLoadOptions = {
   intervalMs: 20,
   smoothingMs: 150,
-  memoryMs: 2_000,
-  idleMemoryMs: 60,
+  retentionMs: 2_000,
+  idleRetentionMs: 60,
   engageWaitMs: 25,
   engageAfterMs: 60,
   queuePerSlot: 0.5,
@@ -52,9 +50,9 @@
   private readonly load = new OfferedLoad();
   private intervalStart: number | undefined;
   private lowestWaitMs = Infinity;
-  private mostIdle = 0;
+  private maxIdleSlots = 0;
   private refused = 0;
-  private waitStandsSince: number | undefined;
+  private standingWaitSince: number | undefined;
 
   constructor(private readonly options: OfferedLoadOptions = DEFAULT_OFFERED_LOAD_OPTIONS) {}
 
@@ -68,7 +66,7 @@
 
   update(now: number, state: GateState): void {
     this.lowestWaitMs = Math.min(this.lowestWaitMs, state.expectedWaitMs);
-    this.mostIdle = Math.max(this.mostIdle, state.limit - state.inFlight);
+    this.maxIdleSlots = Math.max(this.maxIdleSlots, state.limit - state.inFlight);
     this.intervalStart ??= now;
     const elapsed = now - this.intervalStart;
     if (elapsed < this.options.intervalMs) return;
@@ -76,14 +74,14 @@
   }
 
   private endInterval(now: number, elapsed: number, state: GateState): void {
-    const { smoothingMs, memoryMs, idleMemoryMs } = this.options;
-    const idle = state.queued === 0 && this.mostIdle > 0;
-    const memory = idle ? idleMemoryMs : memoryMs;
-    this.load.endInterval(elapsed, this.threshold, smoothingMs, memory);
+    const { smoothingMs, retentionMs, idleRetentionMs } = this.options;
+    const idle = state.queued === 0 && this.maxIdleSlots > 0;
+    const retention = idle ? idleRetentionMs : retentionMs;
+    this.load.endInterval(elapsed, this.threshold, smoothingMs, retention);
     this.threshold = this.isEngaged(now) ? this.computeThreshold(state) : 0;
     this.intervalStart = now;
     this.lowestWaitMs = state.expectedWaitMs;
-    this.mostIdle = state.limit - state.inFlight;
+    this.maxIdleSlots = state.limit - state.inFlight;
     this.refused = 0;
   }
 
@@ -91,11 +89,11 @@
     if (this.threshold > 0) return true;
     const { engageWaitMs, engageAfterMs } = this.options;
     if (this.lowestWaitMs < engageWaitMs) {
-      this.waitStandsSince = undefined;
+      this.standingWaitSince = undefined;
       return false;
     }
-    this.waitStandsSince ??= now;
-    return this.refused > 0 || now - this.waitStandsSince >= engageAfterMs;
+    this.standingWaitSince ??= now;
+    return this.refused > 0 || now - this.standingWaitSince >= engageAfterMs;
   }
 
   private computeThreshold(state: GateState): number {
--- a/src/core/admission/offered-load.ts
+++ b/src/core/admission/offered-load.ts
@@ -2,11 +2,11 @@
  * Offered load by admission priority, in slots (erlangs): expected slot time of the
  * requests offered per unit of time.
  *
- * Requests below the threshold are refused further up and stop arriving, so their load is
- * remembered and forgotten slowly; load above the threshold follows the arrivals.
+ * Requests below the threshold are refused upstream and stop arriving, so their load is
+ * retained and decays slowly; load above the threshold follows the arrivals.
  */
 
-/** Buckets over [0, 1); a multiple of the number of criticality classes. */
+/** Number of buckets over [0, 1); a multiple of the number of criticality classes. */
 export const BUCKETS = 128;
 
 /** Offered load, smoothed exponentially. */
@@ -25,17 +25,23 @@
    *
    * @param threshold buckets below it keep their load, apart from the decay
    * @param smoothingMs time constant above the threshold
-   * @param memoryMs time constant below the threshold when nothing arrives
+   * @param retentionMs time constant below the threshold when nothing arrives
    */
-  endInterval(elapsedMs: number, threshold: number, smoothingMs: number, memoryMs: number): void {
-    const keep = Math.exp(-elapsedMs / smoothingMs);
-    const keepMemory = Math.exp(-elapsedMs / memoryMs);
+  endInterval(
+    elapsedMs: number,
+    threshold: number,
+    smoothingMs: number,
+    retentionMs: number,
+  ): void {
+    const smoothingFactor = Math.exp(-elapsedMs / smoothingMs);
+    const retentionFactor = Math.exp(-elapsedMs / retentionMs);
     const firstAdmitted = Math.ceil(threshold * BUCKETS);
     for (let bucket = 0; bucket < BUCKETS; bucket += 1) {
       const before = this.smoothed[bucket]!;
-      const fresh = before * keep + (this.interval[bucket]! / elapsedMs) * (1 - keep);
-      const remembered = bucket < firstAdmitted ? before * keepMemory : 0;
-      this.smoothed[bucket] = Math.max(fresh, remembered);
+      const updated =
+        before * smoothingFactor + (this.interval[bucket]! / elapsedMs) * (1 - smoothingFactor);
+      const retained = bucket < firstAdmitted ? before * retentionFactor : 0;
+      this.smoothed[bucket] = Math.max(updated, retained);
       this.interval[bucket] = 0;
     }
   }
@@ -45,7 +51,7 @@
     return this.smoothed.reduce((sum, load) => sum + load, 0);
   }
 
-  /** Lowest threshold at which at most `slots` are asked for; 0 when all fit. */
+  /** Lowest threshold above which the load takes at most `slots`; 0 when all of it fits. */
   thresholdFor(slots: number): number {
     let left = slots;
     for (let bucket = BUCKETS - 1; bucket >= 0; bucket -= 1) {
--- a/src/core/limit/limit-comparison.test.ts
+++ b/src/core/limit/limit-comparison.test.ts
@@ -1,6 +1,6 @@
 /**
- * Compares concurrency limits before one target in virtual time: slots, a queue in the
- * target, service times that change. Prints its table; see docs/design/overload-control.md.
+ * Compares concurrency limits in front of one simulated target in virtual time. The target has
+ * slots, a queue and changing service times. Prints its table; see docs/design/overload-control.md.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -23,8 +23,8 @@
 
 interface Case {
   readonly name: string;
-  /** Slots as the operator believes. */
-  readonly knownSlots: number;
+  /** Slots that the operator assumes. */
+  readonly assumedSlots: number;
   /** Arrivals as a multiple of the capacity without slowdown. */
   readonly load: number;
   readonly slowdownAt: (now: number) => number;
@@ -36,45 +36,45 @@
   readonly refusedShare?: number;
 }
 
-const LITTLE_LOAD = { knownSlots: SLOTS, load: 0.8, slowdownAt: () => 1 };
+const LOW_LOAD = { assumedSlots: SLOTS, load: 0.8, slowdownAt: () => 1 };
 
 const CASES: readonly Case[] = [
-  { name: 'slots known', knownSlots: SLOTS, load: 2, slowdownAt: () => 1 },
-  { name: 'half the slots known', knownSlots: SLOTS / 2, load: 2, slowdownAt: () => 1 },
-  { name: 'twice the slots believed', knownSlots: 2 * SLOTS, load: 2, slowdownAt: () => 1 },
+  { name: 'slots known', assumedSlots: SLOTS, load: 2, slowdownAt: () => 1 },
+  { name: 'half the slots known', assumedSlots: SLOTS / 2, load: 2, slowdownAt: () => 1 },
+  { name: 'twice the slots believed', assumedSlots: 2 * SLOTS, load: 2, slowdownAt: () => 1 },
   {
     name: 'five times slower from 3 s to 6 s',
-    knownSlots: SLOTS,
+    assumedSlots: SLOTS,
     load: 0.8,
     slowdownAt: (now) => (now >= 3_000 && now < 6_000 ? 5 : 1),
   },
   {
     name: 'cold for 4 s',
-    knownSlots: SLOTS,
+    assumedSlots: SLOTS,
     load: 1.5,
     slowdownAt: (now) => Math.max(1, 5 - now / 1_000),
   },
   {
     name: 'refuses, twice the slots believed',
-    knownSlots: 2 * SLOTS,
+    assumedSlots: 2 * SLOTS,
     load: 2,
     slowdownAt: () => 1,
     refusesAbove: 0,
   },
 ];
 
-/** Targets that declare their slots and trouble a limit in other ways. */
+/** Targets that declare their slots but slow down or refuse below them. */
 const DECLARED_CASES: readonly Case[] = [
   {
     name: 'slows down when full',
-    knownSlots: SLOTS,
+    assumedSlots: SLOTS,
     load: 1.5,
     slowdownAt: () => 1,
     slowdownWhenFull: 1.3,
   },
-  { name: 'slows down when full, little load', ...LITTLE_LOAD, slowdownWhenFull: 1.3 },
-  { name: 'does not slow down', knownSlots: SLOTS, load: 1.5, slowdownAt: () => 1 },
-  { name: 'refuses half whatever its load', ...LITTLE_LOAD, refusedShare: 0.5 },
+  { name: 'slows down when full, little load', ...LOW_LOAD, slowdownWhenFull: 1.3 },
+  { name: 'does not slow down', assumedSlots: SLOTS, load: 1.5, slowdownAt: () => 1 },
+  { name: 'refuses half whatever its load', ...LOW_LOAD, refusedShare: 0.5 },
 ];
 
 const LIMITS: Readonly<Record<string, (options: TargetGateOptions) => ConcurrencyLimit>> = {
@@ -90,8 +90,8 @@
   readonly run: () => void;
 }
 
-/** One gate before one target. */
-class Bench {
+/** One gate in front of one simulated target. */
+class GateSimulation {
   private now = 0;
   private readonly events: TimedEvent[] = [];
   private readonly requests = new Map<number, RequestContext>();
@@ -109,11 +109,11 @@
   ) {
     this.random = createRandom(seed);
     const policy = createAdaptivePolicy('bench', { ...ADAPTIVE_PARTS, createLimit });
-    const options = { initialLimit: scenario.knownSlots, maxLimit: 110, seed };
+    const options = { initialLimit: scenario.assumedSlots, maxLimit: 110, seed };
     this.gate = policy.createTargetGate(options);
   }
 
-  /** Requests answered in time over those that the slots allow. */
+  /** Runs the simulation; returns the requests answered in time as a share of what the slots allow. */
   run(): number {
     this.scheduleArrival();
     while (this.events.length > 0 && this.events[0]!.at < END_MS) {
@@ -218,7 +218,7 @@
     Object.fromEntries(
       Object.entries(LIMITS).map(([name, createLimit]) => [
         name,
-        median(SEEDS.map((seed) => new Bench(scenario, createLimit, seed).run())),
+        median(SEEDS.map((seed) => new GateSimulation(scenario, createLimit, seed).run())),
       ]),
     ),
   ]),
@@ -228,7 +228,7 @@
   for (const [name, ratios] of table) {
     t.diagnostic(`${name}: ${JSON.stringify(ratios, (_, value: unknown) => round(value))}`);
   }
-  for (const { name } of CASES.filter((scenario) => scenario.knownSlots >= SLOTS)) {
+  for (const { name } of CASES.filter((scenario) => scenario.assumedSlots >= SLOTS)) {
     assert.ok(table.get(name)!['throughput']! >= 0.95, name);
   }
 });
@@ -237,7 +237,7 @@
   assert.ok(table.get('half the slots known')!['throughput']! >= 0.85);
 });
 
-test('the limit of declared slots gives up the last of them where the target then answers more', () => {
+test('the declared limit goes below the slots when the target then answers more', () => {
   const { fixed, declared } = table.get('slows down when full')!;
   assert.ok(declared! >= 1.1 * fixed!, `${declared} against ${fixed}`);
   for (const name of ['does not slow down', 'slows down when full, little load']) {
@@ -246,7 +246,7 @@
   }
 });
 
-test('refusals that come whatever the load is take nothing from the limit', () => {
+test('refusals that do not depend on the load do not lower the limit', () => {
   const { fixed, declared } = table.get('refuses half whatever its load')!;
   assert.ok(declared! >= 0.97 * fixed!, `${declared} against ${fixed}`);
   assert.ok(table.get('refuses, twice the slots believed')!['declared']! >= 0.95);
--- a/src/core/limit/throughput-limit.ts
+++ b/src/core/limit/throughput-limit.ts
@@ -1,23 +1,22 @@
 /**
- * Limit by throughput: stays at the slots that the operator knows and leaves them only on
+ * Limit by throughput. It starts at the slots that the operator configured and changes only on
  * evidence from trials.
  *
  * While requests wait for slots, a trial runs with a higher limit for a number of
- * completions. A target with free slots answers more requests per second then; one without
- * answers as many as before, only later. The limit rises after one clear or two weak
- * successes; above the known slots a trial with a lower limit runs after each failed one.
- * Latency changes nothing: a target that slows down, or waits for others, keeps its slots.
+ * completions. A target with free slots then answers more requests per second; one without
+ * free slots answers as many as before, only later. The limit rises after one clear or two weak
+ * successes; above the configured slots a trial with a lower limit follows each failed one.
+ * Latency has no effect: a target that slows down, or waits for others, keeps its slots.
  * (Hill climbing at the throughput knee; compare the `Gradient2` limit of Netflix's
  * concurrency-limits.)
  *
- * A target that refuses for load is believed at once.
+ * A refusal for load by the target lowers the limit at once.
  *
  * @see docs/design/overload-control.md
  */
 import type { ConcurrencyLimit, LimitSample } from './concurrency-limit.js';
 import { RefusalCeiling } from './refusal-ceiling.js';
 
-/** Parameters of {@link ThroughputLimit}. */
 export interface ThroughputLimitOptions {
   readonly initialLimit: number;
   readonly maxLimit: number;
@@ -27,17 +26,17 @@
 const TRIAL_SHARE = 0.25;
 /** Completions per slot in one measurement. */
 const COMPLETIONS_PER_SLOT = 10;
-/** A trial succeeds when throughput follows the limit by at least this share. */
-const FOLLOWS_SHARE = 0.3;
-/** Pause after a failed trial, in milliseconds; it grows with each further one. */
+/** A trial succeeds when throughput follows the change of the limit by at least this share. */
+const MIN_FOLLOW_SHARE = 0.3;
+/** Base of the pause after a failed trial, in milliseconds; it grows with each further one. */
 const FIRST_PAUSE_MS = 1_000;
 const MAX_PAUSE_MS = 30_000;
 const PAUSE_GROWTH = 4;
-/** The same from which a single trial convinces. */
-const CONVINCING_SHARE = 0.9;
-/** Trials in a row that must succeed before the limit rises otherwise. */
+/** Share from which a single trial is a clear success. */
+const CLEAR_FOLLOW_SHARE = 0.9;
+/** Weak successes in a row after which the limit rises. */
 const CONFIRMATIONS = 2;
-/** Share of the completions of a measurement at which the queue may be empty. */
+/** Largest share of a measurement's completions at which the queue may be empty. */
 const MAX_UNSATURATED_SHARE = 0.1;
 
 interface Measurement {
@@ -47,7 +46,7 @@
   startedAt: number;
 }
 
-/** Anchored hill climbing on throughput. */
+/** Hill climbing on throughput from the configured slots. */
 export class ThroughputLimit implements ConcurrencyLimit {
   private limit: number;
   private trialLimit: number | undefined;
@@ -55,7 +54,7 @@
   private baseRate = 0;
   private pauseMs = FIRST_PAUSE_MS;
   private nextTrialAt = -Infinity;
-  private lastUpFailed = false;
+  private lastIncreaseFailed = false;
   private confirmations = 0;
   private readonly ceiling = new RefusalCeiling();
 
@@ -90,11 +89,11 @@
       measurement.startedAt = now;
       return;
     }
-    const wanted = COMPLETIONS_PER_SLOT * this.limit;
+    const completionsNeeded = COMPLETIONS_PER_SLOT * this.limit;
     measurement.completions += 1;
     if (!queued) measurement.unsaturated += 1;
-    if (measurement.unsaturated > MAX_UNSATURATED_SHARE * wanted) this.abandonTrial();
-    else if (measurement.completions >= wanted) this.endMeasurement(now, measurement);
+    if (measurement.unsaturated > MAX_UNSATURATED_SHARE * completionsNeeded) this.abandonTrial();
+    else if (measurement.completions >= completionsNeeded) this.endMeasurement(now, measurement);
   }
 
   private endMeasurement(now: number, { completions, startedAt }: Measurement): void {
@@ -109,28 +108,28 @@
       return;
     }
     const change = this.trialLimit / this.limit - 1;
-    const share = (rate / this.baseRate - 1) / change;
-    if (change > 0) this.endUpTrial(now, share, this.trialLimit);
-    else this.endDownTrial(now, share, this.trialLimit);
+    const followShare = (rate / this.baseRate - 1) / change;
+    if (change > 0) this.endIncreaseTrial(now, followShare, this.trialLimit);
+    else this.endDecreaseTrial(now, followShare, this.trialLimit);
     this.trialLimit = undefined;
   }
 
-  private endUpTrial(now: number, share: number, tried: number): void {
-    this.confirmations = share >= FOLLOWS_SHARE ? this.confirmations + 1 : 0;
-    this.lastUpFailed = this.confirmations === 0;
-    if (this.lastUpFailed) {
+  private endIncreaseTrial(now: number, followShare: number, testedLimit: number): void {
+    this.confirmations = followShare >= MIN_FOLLOW_SHARE ? this.confirmations + 1 : 0;
+    this.lastIncreaseFailed = this.confirmations === 0;
+    if (this.lastIncreaseFailed) {
       this.pause(now);
-    } else if (this.confirmations === CONFIRMATIONS || share >= CONVINCING_SHARE) {
+    } else if (this.confirmations === CONFIRMATIONS || followShare >= CLEAR_FOLLOW_SHARE) {
       this.confirmations = 0;
-      this.limit = tried;
+      this.limit = testedLimit;
       this.pauseMs = FIRST_PAUSE_MS;
     }
   }
 
-  private endDownTrial(now: number, share: number, tried: number): void {
-    this.lastUpFailed = false;
-    if (share >= FOLLOWS_SHARE) this.pause(now);
-    else this.limit = Math.max(this.options.initialLimit, tried);
+  private endDecreaseTrial(now: number, followShare: number, testedLimit: number): void {
+    this.lastIncreaseFailed = false;
+    if (followShare >= MIN_FOLLOW_SHARE) this.pause(now);
+    else this.limit = Math.max(this.options.initialLimit, testedLimit);
   }
 
   private pause(now: number): void {
@@ -141,8 +140,9 @@
   private startTrial(): void {
     const { initialLimit, maxLimit } = this.options;
     const step = Math.max(1, Math.round(TRIAL_SHARE * this.limit));
-    const goesDown = this.limit > initialLimit && (this.lastUpFailed || this.limit === maxLimit);
-    const wanted = goesDown ? this.limit - step : Math.min(maxLimit, this.limit + step);
+    const decreases =
+      this.limit > initialLimit && (this.lastIncreaseFailed || this.limit === maxLimit);
+    const wanted = decreases ? this.limit - step : Math.min(maxLimit, this.limit + step);
     if (wanted !== this.limit) this.trialLimit = wanted;
   }
 
--- a/src/core/policies/adaptive-router.ts
+++ b/src/core/policies/adaptive-router.ts
@@ -27,14 +27,13 @@
 import { TargetSet } from '../routing/target-set.js';
 import type { TargetState } from '../routing/target-state.js';
 
-/** Parts of an {@link AdaptiveRouter}. */
 export interface AdaptiveRouterParts {
   readonly choose: TargetChoice;
   readonly retryBudget: RetryBudget;
 }
 
-/** Share of its limit below which a target clearly has room. */
-const ROOM_SHARE = 0.8;
+/** Share of its limit below which a target clearly has spare capacity. */
+const SPARE_CAPACITY_SHARE = 0.8;
 
 /** Admission, routing and retries towards one service. */
 export class AdaptiveRouter implements ServiceRouter {
@@ -59,7 +58,7 @@
   }
 
   admit(now: number, request: RequestContext): Refusal | undefined {
-    // Work has been spent above; the gate, which knows the present load, decides.
+    // Work has been spent upstream; the gate, which knows the current load, decides.
     if (request.depth > 0) return undefined;
     if (admissionPriority(request) >= this.threshold(now, request.kind)) return undefined;
     return this.refuse(now, request, ResultCode.AdmissionRefused, 'refused for load');
@@ -94,7 +93,7 @@
   decideRetry(now: number, request: RequestContext, state: RetryState): RetryDecision {
     return this.retries.decide(request, state, {
       now,
-      hasRoom: this.hasRoom(now, request),
+      hasSpareCapacity: this.hasSpareCapacity(now, request),
       typicalLatencyMs: this.latency.ofKind(request.kind) ?? 0,
       retryAfterMs: () =>
         Math.max(this.retryAfter.next(now, request.requestId), state.retryAfterMs ?? 0),
@@ -109,9 +108,9 @@
     return lowest === Infinity ? 0 : lowest;
   }
 
-  private hasRoom(now: number, request: RequestContext): boolean {
+  private hasSpareCapacity(now: number, request: RequestContext): boolean {
     const priority = admissionPriority(request);
-    return this.targets.healthy(now).some((target) => isRoomy(now, target, request, priority));
+    return this.targets.healthy(now).some((target) => canTake(now, target, request, priority));
   }
 
   private refuse(now: number, request: RequestContext, code: ResultCode, detail: string): Refusal {
@@ -120,7 +119,7 @@
   }
 }
 
-function isRoomy(
+function canTake(
   now: number,
   target: TargetState,
   request: RequestContext,
@@ -129,5 +128,5 @@
   const report = target.freshReport(now);
   if (report === undefined || report.queued > 0) return false;
   if (target.threshold(now, request.kind) > priority) return false;
-  return target.load(now) < ROOM_SHARE * report.limit;
+  return target.load(now) < SPARE_CAPACITY_SHARE * report.limit;
 }
--- a/src/core/policies/baseline-router.ts
+++ b/src/core/policies/baseline-router.ts
@@ -1,7 +1,7 @@
 /**
  * The calling side of the baselines: round robin, no admission, and immediate
- * retries per layer that know neither the request's attempts nor a budget. The node's
- * ledger still bounds the attempts where one is in force.
+ * retries per layer that use neither the request's attempt budget nor a retry budget. The
+ * node's attempt ledger still bounds the attempts where one is in force.
  */
 import type {
   PickResult,
@@ -41,8 +41,8 @@
   onOutcome(): void {}
 
   decideRetry(_now: number, request: RequestContext, state: RetryState): RetryDecision {
-    const repeatable = request.idempotent || !state.mayHaveRun;
-    if (repeatable && state.attemptsMade <= BASELINE_RETRIES) return { type: 'retry', delayMs: 0 };
+    const mayRetry = request.idempotent || !state.mayHaveRun;
+    if (mayRetry && state.attemptsMade <= BASELINE_RETRIES) return { type: 'retry', delayMs: 0 };
     return { type: 'give-up', refusal: refusal(ResultCode.AttemptsExhausted, 'no retries left') };
   }
 
--- a/src/core/policies/bounded-gate.ts
+++ b/src/core/policies/bounded-gate.ts
@@ -9,22 +9,21 @@
 import { ResultCode } from '../result-code.js';
 import { InFlight } from './in-flight.js';
 
-/** Parts of a {@link BoundedGate}. */
 export interface BoundedGateOptions {
   readonly limit: ConcurrencyLimit;
   readonly queue: WaitingQueue;
   /** Most requests that may wait. */
   readonly maxQueued: number;
-  /** Whether a waiting request is refused at its deadline; else the dispatch is wasted. */
-  readonly expires: boolean;
+  /** Whether a waiting request is refused at its deadline; else it is dispatched too late. */
+  readonly refusesAtDeadline: boolean;
 }
 
-/** Retry time of every refusal of a baseline, in milliseconds. */
+/** Retry time on every refusal of a baseline, in milliseconds. */
 export const BASELINE_RETRY_AFTER_MS = 100;
 
 const LATENCY_SMOOTHING = 0.1;
 
-/** Limit, queue and nothing else. */
+/** Limit and queue of one target. */
 export class BoundedGate implements TargetGate {
   private readonly inFlight = new InFlight();
   private latencyMs = 0;
@@ -62,7 +61,7 @@
   }
 
   nextTimer(): number | undefined {
-    return this.options.expires ? this.options.queue.earliestGiveUp() : undefined;
+    return this.options.refusesAtDeadline ? this.options.queue.earliestGiveUp() : undefined;
   }
 
   report(): LoadReport {
@@ -81,8 +80,8 @@
   noteWastedRun(): void {}
 
   private drain(now: number): GateAction[] {
-    const { limit, queue, expires } = this.options;
-    const expired: readonly WaitingRequest[] = expires ? queue.takeExpired(now) : [];
+    const { limit, queue, refusesAtDeadline } = this.options;
+    const expired: readonly WaitingRequest[] = refusesAtDeadline ? queue.takeExpired(now) : [];
     const actions: GateAction[] = expired.map(({ ticket }) =>
       refuse(ticket, ResultCode.DeadlineUnreachable, 'deadline passed in the queue'),
     );
--- a/src/core/retry/retry.test.ts
+++ b/src/core/retry/retry.test.ts
@@ -27,7 +27,7 @@
 };
 const ENVIRONMENT: RetryEnvironment = {
   now: 0,
-  hasRoom: true,
+  hasSpareCapacity: true,
   typicalLatencyMs: 50,
   retryAfterMs: () => 200,
 };
@@ -65,7 +65,7 @@
   {
     name: 'overloaded, none has room',
     state: { lastOutcome: 'overloaded' },
-    environment: { hasRoom: false },
+    environment: { hasSpareCapacity: false },
     code: ResultCode.TargetRefused,
   },
   { name: 'no attempts left', state: { attemptsLeft: 0 }, code: ResultCode.AttemptsExhausted },
@@ -123,6 +123,6 @@
   assert.ok(late > 20 * first && late <= MAX_RETRY_AFTER_MS * 1.5);
   const spread = new Set(['a', 'b', 'c', 'd'].map((id) => at(60_000, id)));
   assert.equal(spread.size, 4);
-  // A quiet second ends the overload.
+  // A second without refusals ends the overload.
   assert.equal(at(62_000), first);
 });
