--- a/src/core/answer-body.test.ts
+++ b/src/core/answer-body.test.ts
@@ -14,7 +14,7 @@
   assert.deepEqual([hasBody(200), hasBody(304)], [true, false]);
 });
 
-test('an address is taken apart, with and without brackets', () => {
+test('an address is split into host and port, with and without brackets', () => {
   assert.deepEqual(splitAddress('10.0.0.1:8080'), { host: '10.0.0.1', port: 8080 });
   assert.deepEqual(splitAddress('[::1]:443'), { host: '::1', port: 443 });
 });
--- a/src/core/answer-body.ts
+++ b/src/core/answer-body.ts
@@ -1,4 +1,4 @@
-/** What the head of an HTTP answer says of its body (RFC 9110, section 6.4.1). */
+/** What the head of an HTTP answer says about its body (RFC 9110, section 6.4.1). */
 
 /** Statuses whose answers have no body. */
 const STATUSES_WITHOUT_BODY: ReadonlySet<number> = new Set([204, 304]);
@@ -16,8 +16,8 @@
 }
 
 /**
- * Whether the head tells where the answer ends. An answer that ends with its connection can't be
- * told from one that was cut off: both end with a plain close (measured; see
+ * Whether the head says where the answer ends. An answer that ends with its connection cannot be
+ * distinguished from one that was cut off: both end with a plain close (see
  * docs/design/new-machines.md).
  *
  * @param method of the request
--- a/src/core/attempt-budget.ts
+++ b/src/core/attempt-budget.ts
@@ -1,6 +1,6 @@
 /**
- * How the attempts of one call are shared out over its tries, and how many a call below an
- * attempt may ask for. Pure; see docs/design/attempt-budget.md.
+ * Divides the attempt budget of a call among its attempts, and computes how many attempts a call
+ * below an attempt may request. Pure; see docs/design/attempt-budget.md.
  */
 
 /** The calls that a service makes, by name. */
@@ -11,15 +11,16 @@
 
 /**
  * Fewest attempts with which a call of `service` can succeed: one for itself, and the need of
- * every service that it calls. A service that stands above itself counts without its calls.
+ * every service that it calls. A service that calls itself, directly or through others, counts
+ * without its calls there.
  */
 export function minimalNeed(service: string, callsOf: CallGraph): number {
   return Math.min(MAX_NEED, needOf(service, callsOf, new Set()));
 }
 
-function needOf(service: string, callsOf: CallGraph, above: ReadonlySet<string>): number {
-  if (above.has(service)) return 1;
-  const path = new Set(above).add(service);
+function needOf(service: string, callsOf: CallGraph, ancestors: ReadonlySet<string>): number {
+  if (ancestors.has(service)) return 1;
+  const path = new Set(ancestors).add(service);
   let need = 1;
   for (const callee of callsOf(service)) {
     need += needOf(callee, callsOf, path);
@@ -29,8 +30,8 @@
 }
 
 /**
- * Attempts that one call below an attempt asks for: all that its kind allows, but what the
- * parent's other callees need at the least is left for them.
+ * Number of attempts that a call below an attempt requests: as many as its kind allows, while
+ * the minimal need of the parent's other callees is left for them.
  */
 export function wantedAttempts(
   remaining: number,
@@ -38,8 +39,8 @@
   need: number,
   needOfOthers: number,
 ): number {
-  const fair = Math.max(remaining - needOfOthers, Math.min(need, remaining));
-  return Math.max(0, Math.min(kindAttempts, fair));
+  const fairShare = Math.max(remaining - needOfOthers, Math.min(need, remaining));
+  return Math.max(0, Math.min(kindAttempts, fairShare));
 }
 
 /** The attempts of one call at one hop. */
@@ -63,26 +64,26 @@
     return this.left;
   }
 
-  /** Attempts spent so far, grants that have not come back included. */
+  /** Attempts spent so far, including grants that are not settled. */
   get used(): number {
     return this.spent;
   }
 
   /**
-   * Grants attempts to the next try. Enough for one more whole try is kept back when the
+   * Grants attempts to the next attempt. Reserves enough for one more complete attempt when the
    * budget allows it, so that one lost answer does not end the retries.
    *
    * @returns the grant, 0 when nothing is left
    */
   grant(): number {
-    const keptBack = this.left >= 2 * this.need ? this.need : 0;
-    const granted = this.need === 1 ? Math.min(1, this.left) : this.left - keptBack;
+    const reserve = this.left >= 2 * this.need ? this.need : 0;
+    const granted = this.need === 1 ? Math.min(1, this.left) : this.left - reserve;
     this.left -= granted;
     this.spent += granted;
     return granted;
   }
 
-  /** Settles a grant whose try told what it used; more than granted counts as the grant. */
+  /** Settles a grant whose attempt reported its use; a use above the grant counts as the grant. */
   settle(granted: number, used: number): void {
     const unused = Math.max(0, granted - Math.max(0, used));
     this.left += unused;
--- a/src/core/attempt-ledger.test.ts
+++ b/src/core/attempt-ledger.test.ts
@@ -1,4 +1,7 @@
-/** Bound on attempts over random call trees, with losses and retries at every layer. */
+/**
+ * Checks the bound on attempts over random call trees, with lost messages and retries at every
+ * layer.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -11,17 +14,20 @@
   maxLength: 5,
 });
 
-/** How the world decides: one number per decision, used in turn. */
+/** Random choices of the simulation: one number per decision, used in turn. */
 const decisions = fc.array(fc.integer({ min: 0, max: 99 }), { minLength: 1, maxLength: 200 });
 
-interface World {
+interface Simulation {
   readonly callsOf: (service: string) => readonly string[];
   readonly ledger: AttemptLedger;
   readonly decide: () => number;
   attempts: number;
 }
 
-function createWorld(graph: readonly (readonly number[])[], choices: readonly number[]): World {
+function createSimulation(
+  graph: readonly (readonly number[])[],
+  choices: readonly number[],
+): Simulation {
   let next = 0;
   return {
     callsOf: (service) => {
@@ -38,44 +44,49 @@
   };
 }
 
-/** The nodes' part: tries until an answer comes or nothing is left. Returns attempts used. */
-function call(world: World, service: string, total: number): number {
-  const budget = new AttemptBudget(total, minimalNeed(service, world.callsOf));
+/** The nodes' part: retries until an answer arrives or the budget is spent; returns its use. */
+function call(simulation: Simulation, service: string, total: number): number {
+  const budget = new AttemptBudget(total, minimalNeed(service, simulation.callsOf));
   for (let granted = budget.grant(); granted > 0; granted = budget.grant()) {
-    const used = attempt(world, service, granted);
+    const used = attempt(simulation, service, granted);
     assert.ok(used >= 1 && used <= granted, `used ${used} of ${granted}`);
-    const answerLost = world.decide() < 40;
+    const answerLost = simulation.decide() < 40;
     if (answerLost) continue;
     budget.settle(granted, used);
-    if (world.decide() < 50) break;
+    if (simulation.decide() < 50) break;
   }
   assert.ok(budget.used <= total);
   return budget.used;
 }
 
-/** The back end's part: calls others, repeats by itself, and may drop what it was told. */
-function attempt(world: World, service: string, granted: number): number {
-  world.attempts += 1;
-  const id = `attempt-${world.attempts}`;
-  world.ledger.open(id, granted);
-  const callees = world.callsOf(service);
+/** The back end's part: calls others, repeats calls on its own, and may lose what was returned. */
+function attempt(simulation: Simulation, service: string, granted: number): number {
+  simulation.attempts += 1;
+  const id = `attempt-${simulation.attempts}`;
+  simulation.ledger.open(id, granted);
+  const callees = simulation.callsOf(service);
   for (const callee of callees) {
-    const repeats = 1 + (world.decide() % 4);
-    for (let repeat = 0; repeat < repeats; repeat += 1) callBelow(world, id, callees, callee);
+    const callCount = 1 + (simulation.decide() % 4);
+    for (let index = 0; index < callCount; index += 1) callBelow(simulation, id, callees, callee);
   }
-  return world.ledger.close(id);
+  return simulation.ledger.close(id);
 }
 
-function callBelow(world: World, id: string, callees: readonly string[], callee: string): void {
-  const needOf = (name: string): number => minimalNeed(name, world.callsOf);
+function callBelow(
+  simulation: Simulation,
+  id: string,
+  callees: readonly string[],
+  callee: string,
+): void {
+  const needOf = (name: string): number => minimalNeed(name, simulation.callsOf);
   const others = callees.filter((name) => name !== callee);
   const needOfOthers = others.reduce((sum, name) => sum + needOf(name), 0);
-  const left = world.ledger.remaining(id);
-  const wanted = wantedAttempts(left, 1 + (world.decide() % 9), needOf(callee), needOfOthers);
-  const reserved = world.ledger.reserve(id, wanted);
-  const used = call(world, callee, reserved);
-  const returnLost = world.decide() < 20;
-  if (!returnLost) world.ledger.giveBack(id, reserved - used);
+  const left = simulation.ledger.remaining(id);
+  const wanted = wantedAttempts(left, 1 + (simulation.decide() % 9), needOf(callee), needOfOthers);
+  const reserved = simulation.ledger.reserve(id, wanted);
+  const used = call(simulation, callee, reserved);
+  const returnLost = simulation.decide() < 20;
+  if (!returnLost) simulation.ledger.giveBack(id, reserved - used);
 }
 
 test('attempts of a whole call tree never pass the bound', () => {
@@ -84,17 +95,17 @@
     decisions,
     fc.integer({ min: 1, max: 40 }),
     (graph, choices, bound) => {
-      const world = createWorld(graph, choices);
-      const used = call(world, '0', bound);
-      assert.ok(world.attempts <= bound, `${world.attempts} attempts, bound ${bound}`);
-      assert.ok(world.attempts <= used, 'attempts that nobody counted');
-      assert.equal(world.ledger.size, 0);
+      const simulation = createSimulation(graph, choices);
+      const used = call(simulation, '0', bound);
+      assert.ok(simulation.attempts <= bound, `${simulation.attempts} attempts, bound ${bound}`);
+      assert.ok(simulation.attempts <= used, 'attempts missing from the count');
+      assert.equal(simulation.ledger.size, 0);
     },
   );
   fc.assert(property, { seed: 7, numRuns: 300 });
 });
 
-test('one lost answer leaves enough for another whole try when the bound is twice the need', () => {
+test('a bound of twice the need allows another complete attempt after one lost answer', () => {
   const property = fc.property(
     fc.integer({ min: 1, max: 20 }),
     fc.integer({ min: 0, max: 100 }),
@@ -107,7 +118,7 @@
   fc.assert(property, { seed: 7 });
 });
 
-test('an ended or unknown attempt gives nothing, and takes nothing back', () => {
+test('an ended or unknown attempt grants no reservation and ignores returned attempts', () => {
   const ledger = new AttemptLedger();
   assert.equal(ledger.reserve('unknown', 3), 0);
   ledger.open('a', 4);
@@ -117,7 +128,7 @@
   assert.equal(ledger.reserve('a', 1), 0);
 });
 
-test('the need of a subtree: itself and what it calls, cycles cut', () => {
+test('the need of a subtree: one for itself plus that of its callees, cycles cut', () => {
   const calls: Record<string, readonly string[]> = {
     leaf: [],
     chain: ['middle'],
@@ -137,7 +148,7 @@
   }
 });
 
-test('parallel callees each get what they need at the least', () => {
+test('parallel callees each get at least their minimal need', () => {
   const cases = [
     { remaining: 2, kind: 5, need: 1, others: 1, wanted: 1 },
     { remaining: 8, kind: 5, need: 1, others: 2, wanted: 5 },
--- a/src/core/attempt-ledger.ts
+++ b/src/core/attempt-ledger.ts
@@ -1,6 +1,6 @@
 /**
- * The attempts spent below each running attempt. The node that fronts a target keeps it, so
- * that retries by the back end itself and by the nodes draw from one budget.
+ * Counts the attempts spent below each running attempt. The fronting node of a target keeps the
+ * ledger, so that retries by the back end itself and by the nodes draw from one budget.
  *
  * Invariant: the attempts that an ended attempt reports, plus those that its callers keep,
  * never exceed what it was granted; a reservation that was not returned counts as spent.
@@ -8,7 +8,7 @@
 
 interface LedgerEntry {
   readonly granted: number;
-  /** Attempts reserved by calls below and not given back. */
+  /** Attempts reserved by calls below and not returned. */
   reserved: number;
 }
 
@@ -45,7 +45,7 @@
     return reserved;
   }
 
-  /** Takes back attempts that were reserved and not used; ignored after the end. */
+  /** Returns attempts that were reserved and not used; ignored after the attempt has ended. */
   giveBack(attemptId: string, unused: number): void {
     const entry = this.entries.get(attemptId);
     if (entry === undefined) return;
--- a/src/core/attempt.ts
+++ b/src/core/attempt.ts
@@ -1,11 +1,11 @@
-/** One attempt of a call at one target: what the entry side sends and gets back. */
+/** One attempt of a call at one target: what the entry side sends and receives. */
 import type { Failure } from './failure.js';
 import type { HttpAnswer, HttpRequest } from './http-message.js';
 import type { AttemptOutcome, LoadReport, RequestContext } from './request.js';
 
-/** An attempt on its way to the node that fronts the target. */
+/** An attempt as sent to the target's fronting node. */
 export interface TargetAttempt {
-  /** Unique over all nodes and time; parent of the calls made below it. */
+  /** Unique across all nodes and over time; parent of the calls made below it. */
   readonly attemptId: string;
   readonly target: string;
   readonly context: RequestContext;
@@ -19,7 +19,7 @@
   readonly notAfter?: number;
 }
 
-/** How an attempt ended. Exactly one per attempt. */
+/** Result of an attempt; each attempt has exactly one. */
 export type AttemptResult = AttemptAnswer | AttemptFailure;
 
 interface AttemptEnd {
--- a/src/core/byte-budget.ts
+++ b/src/core/byte-budget.ts
@@ -1,4 +1,4 @@
-/** Bytes of message bodies that a node buffers at once. */
+/** Limits the bytes of message bodies that a node buffers at once. */
 
 /** A bound that is shared by all requests of a node. */
 export class ByteBudget {
@@ -7,18 +7,18 @@
   /** @param limit bytes */
   constructor(readonly limit: number) {}
 
-  /** Bytes taken now. */
+  /** Bytes reserved now. */
   get used(): number {
     return this.taken;
   }
 
-  /** Takes bytes unless that would pass the limit; undefined when it would. */
+  /** Reserves bytes; returns undefined when that would exceed the limit. */
   tryReserve(bytes: number): BufferReservation | undefined {
     if (!this.tryTake(bytes)) return undefined;
     return new BufferReservation(this, bytes);
   }
 
-  /** Takes bytes that are in memory already, even past the limit. */
+  /** Reserves bytes that are already in memory, even beyond the limit. */
   reserve(bytes: number): BufferReservation {
     this.taken += bytes;
     return new BufferReservation(this, bytes);
@@ -32,19 +32,19 @@
   }
 
   /** Used by {@link BufferReservation}. */
-  giveBack(bytes: number): void {
+  release(bytes: number): void {
     this.taken -= bytes;
   }
 }
 
-/** Bytes taken by one request. */
+/** Bytes reserved by one request. */
 export class BufferReservation {
   constructor(
     private readonly budget: ByteBudget,
     private bytes: number,
   ) {}
 
-  /** Makes sure that `total` bytes are taken; false when the budget does not allow it. */
+  /** Extends the reservation to `total` bytes; returns false when the budget does not allow it. */
   cover(total: number): boolean {
     const more = total - this.bytes;
     if (more <= 0) return true;
@@ -53,9 +53,9 @@
     return true;
   }
 
-  /** Gives everything back; harmless when called again. */
+  /** Releases all bytes; further calls have no effect. */
   release(): void {
-    this.budget.giveBack(this.bytes);
+    this.budget.release(this.bytes);
     this.bytes = 0;
   }
 }
--- a/src/core/call-baggage.ts
+++ b/src/core/call-baggage.ts
@@ -1,12 +1,12 @@
 /**
- * The context that travels with a call through a back end, as members of the W3C `baggage`
- * field. Members of others pass unchanged.
+ * The context that a back end propagates with its calls, as members of the W3C `baggage` field.
+ * Members that other systems set pass unchanged.
  */
 import type { HeaderFields } from './http-message.js';
 
-/** What a back end is told, and hands on with the calls that it makes. */
+/** Context that a back end receives, and forwards with the calls that it makes. */
 export interface CallBaggage {
-  /** Attempt under which the back end works. */
+  /** Attempt that the back end is serving. */
   readonly parentAttemptId: string;
   /** Node that holds the ledger of that attempt. */
   readonly nodeId: string;
--- a/src/core/duration.ts
+++ b/src/core/duration.ts
@@ -3,7 +3,7 @@
 const PATTERN = /^(\d+(?:\.\d+)?)(ms|s)$/;
 const MS_PER_SECOND = 1_000;
 
-/** Milliseconds of a duration such as `1500ms` or `2.5s`; undefined when the value is none. */
+/** Milliseconds of a duration such as `1500ms` or `2.5s`; undefined for any other value. */
 export function parseDuration(value: unknown): number | undefined {
   const match = typeof value === 'string' ? PATTERN.exec(value) : null;
   if (match === null) return undefined;
--- a/src/core/failure.ts
+++ b/src/core/failure.ts
@@ -4,11 +4,11 @@
 /** A numbered error. Errors are values (`Result<T, Failure>`); exceptions are for defects only. */
 export interface Failure {
   readonly code: ResultCode;
-  /** What happened, for a person; never parsed. */
+  /** Human-readable description of what happened; never parsed. */
   readonly detail: string;
   /** What is known about the effects of the request. */
   readonly execution: Execution;
-  /** Milliseconds after which a repeat is worthwhile; absent when a repeat cannot help. */
+  /** Milliseconds after which a retry is worthwhile; absent when a retry cannot help. */
   readonly retryAfterMs?: number;
   /** One entry per invalid member of a document. */
   readonly violations?: readonly Violation[];
--- a/src/core/forwarded-fields.test.ts
+++ b/src/core/forwarded-fields.test.ts
@@ -4,7 +4,7 @@
 import { forwardAnswerFields, forwardRequestFields } from './forwarded-fields.js';
 import type { HeaderFields } from './http-message.js';
 
-test('request fields: order and case stay, hop-by-hop fields go, the length is written anew', () => {
+test('request fields keep order and case, without hop-by-hop fields, with a new length', () => {
   const cases: { method: string; length: number; sent: HeaderFields; passed: HeaderFields }[] = [
     {
       method: 'GET',
--- a/src/core/forwarded-fields.ts
+++ b/src/core/forwarded-fields.ts
@@ -1,7 +1,7 @@
 /**
- * Which header fields pass from one side of a node to the other. Everything passes in its
- * order and case except hop-by-hop fields (RFC 9110, section 7.6.1) and message framing,
- * which is written anew because bodies are buffered whole.
+ * Selects the header fields that a node forwards. All fields keep their order and case, except
+ * that hop-by-hop fields (RFC 9110, section 7.6.1) are dropped and message framing is written
+ * again, because bodies are buffered whole.
  */
 import type { HeaderFields } from './http-message.js';
 
@@ -16,7 +16,7 @@
   'upgrade',
 ]);
 
-/** Fields that the receiving side of a request has dealt with already. */
+/** Fields that the receiving side of a request has already processed. */
 const REQUEST_ONLY_FIELDS: ReadonlySet<string> = new Set(['expect', 'content-length']);
 
 const CONNECTION_FIELD = 'connection';
@@ -38,7 +38,7 @@
 /** Methods whose requests carry a length even when the body is empty (RFC 9110, section 8.6). */
 const METHODS_WITH_BODY: ReadonlySet<string> = new Set(['POST', 'PUT', 'PATCH']);
 
-/** Fields of a caller's request that go on to the back end, with the length of the whole body. */
+/** Fields of a caller's request to forward to the back end, with the length of the whole body. */
 export function forwardRequestFields(
   method: string,
   headers: HeaderFields,
@@ -49,7 +49,7 @@
   return [...kept, ['Content-Length', String(bodyLength)]];
 }
 
-/** Fields of a back end's answer that go on to the caller; framing is the sender's. */
+/** Fields of a back end's answer to forward to the caller; framing is left to the sender. */
 export function forwardAnswerFields(headers: HeaderFields): HeaderFields {
   return withoutHopByHop(headers, NO_TOKENS);
 }
--- a/src/core/host-and-port.ts
+++ b/src/core/host-and-port.ts
@@ -1,12 +1,12 @@
-/** Addresses as settings, records and the platform write them, taken apart. */
+/** Splits addresses in the form that settings, records and the platform use. */
 
-/** A host, which is an IP address here, and a port. */
+/** A host, always an IP address, and a port. */
 export interface HostAndPort {
   readonly host: string;
   readonly port: number;
 }
 
-/** Takes `127.0.0.1:8080` or `[::1]:8080` apart; whoever read the address has checked its form. */
+/** Splits `127.0.0.1:8080` or `[::1]:8080`; the form was checked when the address was read. */
 export function splitAddress(address: string): HostAndPort {
   const separator = address.lastIndexOf(':');
   const host = address.slice(0, separator).replace(/^\[|\]$/g, '');
--- a/src/core/http-message.ts
+++ b/src/core/http-message.ts
@@ -1,4 +1,4 @@
-/** HTTP messages as they pass through unchanged: buffered whole, never in part. */
+/** HTTP messages that are forwarded unchanged, always buffered whole. */
 
 /** Header fields in their original order and case; names may repeat. */
 export type HeaderFields = readonly (readonly [name: string, value: string])[];
--- a/src/core/member.ts
+++ b/src/core/member.ts
@@ -1,9 +1,9 @@
-/** What is known of one node of the fleet; shared by membership, placement and routing. */
+/** What is known about one node of the fleet; shared by membership, placement and routing. */
 
 /** State of a member as this node sees it. */
 export type MemberState = 'alive' | 'suspect' | 'leaving' | 'failed';
 
-/** What a node tells about itself. Changes travel with a higher `sequence`. */
+/** What a node reports about itself. Each change is sent with a higher `sequence`. */
 export interface MemberFacts {
   readonly nodeId: string;
   /** Set once at process start (Unix ms); a restarted process is a new incarnation. */
@@ -15,14 +15,14 @@
   readonly peerAddress: string;
   readonly entryAddress: string;
   readonly adminAddress: string;
-  /** Targets that the node is set to front. */
+  /** Targets that the node is configured to front. */
   readonly fronts: readonly string[];
   /** Targets that the node has seen leaving. */
   readonly leavingTargets: readonly string[];
   /**
-   * Highest rules version in force at the node; see ConfigStore. It never falls within an
-   * incarnation and travels apart from `sequence`, so that a change of the rules, which
-   * moves it at every node, does not spread all facts anew.
+   * Highest rules version in force at the node; see ConfigStore. It never decreases within an
+   * incarnation and is sent separately from `sequence`, so that a change of the rules, which
+   * raises it at every node, does not gossip all facts again.
    */
   readonly configVersion: number;
   /** Whether the node serves callers (rules loaded, not draining). */
--- a/src/core/overload.ts
+++ b/src/core/overload.ts
@@ -1,27 +1,27 @@
 /**
  * Interfaces of the overload decision logic. Implementations are pure and
- * deterministic: `now` (milliseconds, monotonic) comes in with each event, actions go
- * out as return values. A node, the emulator and the tests drive the same code.
+ * deterministic: each event carries `now` (milliseconds, monotonic), and actions are
+ * return values. A node, the emulator and the tests drive the same code.
  *
  * See docs/design/overload-control.md.
  */
 import type { AttemptOutcome, LoadReport, RequestContext } from './request.js';
 import type { ResultCode } from './result-code.js';
 
-/** A refusal, final at once, with the time after which a repeat is worthwhile. */
+/** An immediate, final refusal with the time after which a retry is worthwhile. */
 export interface Refusal {
   readonly code: ResultCode;
   readonly detail: string;
   readonly retryAfterMs: number;
 }
 
-/** What a target gate wants done with a request that it was offered earlier or just now. */
+/** Action that a target gate requires for a request offered in this or an earlier call. */
 export type GateAction =
   | { readonly type: 'dispatch'; readonly ticket: number }
   | { readonly type: 'refuse'; readonly ticket: number; readonly refusal: Refusal };
 
 /**
- * Admission before one target: concurrency limit, priority queue and deadlines.
+ * Admission in front of one target: concurrency limit, priority queue and deadlines.
  * Every offered ticket gets exactly one `dispatch` or `refuse` action, from the call
  * itself or from a later one, unless it was cancelled while it waited.
  */
@@ -30,9 +30,9 @@
   offer(now: number, ticket: number, request: RequestContext): readonly GateAction[];
   /** Ends a dispatched ticket; may dispatch or refuse waiting ones. */
   complete(now: number, ticket: number, outcome: AttemptOutcome): readonly GateAction[];
-  /** Withdraws a waiting ticket whose caller went away. */
+  /** Withdraws a waiting ticket whose caller has gone away. */
   cancel(now: number, ticket: number): readonly GateAction[];
-  /** Called when `nextTimer` has come. */
+  /** Called when the time of `nextTimer` is reached. */
   onTimer(now: number): readonly GateAction[];
   /** Time of the next needed `onTimer`, if any. */
   nextTimer(): number | undefined;
@@ -48,13 +48,13 @@
    * @param kind kind, at this gate, of the request that made the call; absent: every kind
    */
   noteDownstream(now: number, service: string, threshold: number, kind?: string): void;
-  /** A run of this request was lost because a call below it was refused for load. */
+  /** Records that a run of this request was wasted because a call below it was refused for load. */
   noteWastedRun(now: number, request: RequestContext): void;
 }
 
 /** Parameters of a target gate that come from the rules. */
 export interface TargetGateOptions {
-  /** First concurrency limit (the target's slots as far as the operator knows). */
+  /** Initial concurrency limit (the target's slots as far as the operator knows). */
   readonly initialLimit: number;
   /** Upper bound of the limit: the target's connections. */
   readonly maxLimit: number;
@@ -67,9 +67,9 @@
   readonly id: string;
   readonly zone: string;
   readonly region: string;
-  /** Whether some live node fronts the target and nobody has seen it leaving. */
+  /** Whether some live node fronts the target and no node has seen it leaving. */
   readonly eligible: boolean;
-  /** Life of the target: what was learned of another one says nothing. Absent: not known. */
+  /** Incarnation of the target; knowledge of another one does not apply. Absent: unknown. */
   readonly incarnation?: string;
 }
 
@@ -83,9 +83,7 @@
   | { readonly type: 'retry'; readonly delayMs: number }
   | { readonly type: 'give-up'; readonly refusal: Refusal };
 
-/**
- * The calling side for one service: admission at the entry, routing, retries.
- */
+/** The calling side for one service: admission at the entry, routing, retries. */
 export interface ServiceRouter {
   /** Replaces the known targets (rules, membership or drain signs changed). */
   updateTargets(now: number, targets: readonly TargetView[]): void;
@@ -104,7 +102,7 @@
 /** The end of one attempt as the router sees it. */
 export interface AttemptReport {
   readonly target: string;
-  /** Kind of the request at this service; tells which threshold the load carries. */
+  /** Kind of the request at this service; determines which threshold the load carries. */
   readonly kind?: string;
   readonly outcome: AttemptOutcome;
   /** From dispatch to the end, in milliseconds. */
@@ -136,7 +134,7 @@
   readonly seed: number;
 }
 
-/** A named overload policy: how gates and routers are made. Policies register under a name. */
+/** A named overload policy: creates gates and routers. Policies register under a name. */
 export interface OverloadPolicy {
   readonly name: string;
   createTargetGate(options: TargetGateOptions): TargetGate;
--- a/src/core/placement.test.ts
+++ b/src/core/placement.test.ts
@@ -102,7 +102,7 @@
   assert.equal(selectReplicas('key', fleet, 9).length, 4);
 });
 
-test('when a member fails, few keys change and each by few replicas', () => {
+test('when a member fails, few keys change, and each in few replicas', () => {
   const before = new Placement(FLEET);
   const after = new Placement(change(FLEET, 'node-9', { state: 'failed' }));
   let moved = 0;
@@ -113,7 +113,7 @@
     if (!old.includes('node-9')) assert.equal(lost, 0);
     moved += lost;
   }
-  // Its own share is 3 replicas of 70 members; a choice below it may move as well.
+  // Its own share is 3 replicas of 70 members; a less preferred choice may move as well.
   const share = (3 * KEYS.length) / FLEET.length;
   assert.ok(moved <= 2.2 * share, `${moved} replicas moved, its share is ${share}`);
 });
@@ -129,7 +129,7 @@
   const mean = (3 * KEYS.length) / FLEET.length;
   for (const member of FLEET) {
     const count = counts.get(member.nodeId) ?? 0;
-    // Zones are drawn alike, so members of a region with fewer zones hold more.
+    // Zones are chosen equally often, so members of a region with fewer zones hold more.
     assert.ok(count > mean / 2 && count < mean * 2, `${member.nodeId} holds ${count}`);
   }
 });
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -1,12 +1,12 @@
 /**
- * Placement by rendezvous hashing: every node computes the same answer from the same view
- * of the members, and a member that goes moves only what it held. See docs/ARCHITECTURE.md,
+ * Placement by rendezvous hashing: every node computes the same result from the same view
+ * of the members, and the loss of a member moves only what it held. See docs/ARCHITECTURE.md,
  * path step 6, and docs/design/membership.md.
  */
 import { combineHashes, hash32 } from './hash.js';
 import type { Member } from './member.js';
 
-/** The parts of a target that placement looks at. */
+/** The properties of a target that placement uses. */
 export interface PlacedTarget {
   readonly id: string;
   readonly zone: string;
@@ -18,8 +18,8 @@
 }
 
 /**
- * The placement for one view of the members. Build one per view and keep it while the view
- * stands: a choice then costs one hash and a scan of the zone's members.
+ * The placement for one view of the members. Create one per view and reuse it until the view
+ * changes: a choice then costs one hash and a scan of the zone's members.
  */
 export class Placement {
   private readonly ready: readonly Candidate[];
@@ -45,17 +45,17 @@
 
   /**
    * The node that fronts a target: a ready member whose settings list it, else the ready
-   * node of its zone with the highest hash, else that of any zone.
+   * node of its zone with the highest weight, else that of any zone.
    *
    * @returns undefined when no member is ready
    */
   selectFrontingNode({ id, zone }: PlacedTarget): Member | undefined {
     const candidates = this.readyByTarget.get(id) ?? this.readyByZone.get(zone) ?? this.ready;
-    return highest(candidates, id);
+    return highestWeighted(candidates, id);
   }
 
   /**
-   * The replicas of a key, most preferred first. Each choice takes the highest hash among
+   * The replicas of a key, most preferred first. Each choice takes the highest weight among
    * the members of the zones used least so far, and among those of the regions used least.
    *
    * @param count replicas wanted; fewer are returned when there are not as many members
@@ -76,7 +76,7 @@
   }
 }
 
-/** The best candidate that is left in one zone, for one key. */
+/** The best remaining candidate of one zone, for one key. */
 class ZoneChoice {
   uses = 0;
   best: Candidate | undefined;
@@ -90,7 +90,7 @@
     this.findBest();
   }
 
-  /** Takes the best one; only while there is one. */
+  /** Removes and returns the best candidate; there must be one. */
   take(): Candidate {
     const taken = this.best!;
     this.taken.add(taken);
@@ -134,7 +134,7 @@
   return preferred;
 }
 
-/** Higher weight first; weights are rarely equal, then the name decides, so that nodes agree. */
+/** Higher weight first; equal weights are rare and ordered by node id, so that nodes agree. */
 function isPreferred(
   candidate: Candidate,
   weight: number,
@@ -162,12 +162,12 @@
   return new Placement(members).selectReplicas(key, count);
 }
 
-/** A suspected member keeps its place until it has failed; a leaving one hands it over. */
+/** A suspected member keeps its place until it has failed; a leaving one gives it up at once. */
 function isPresent({ state }: Member): boolean {
   return state === 'alive' || state === 'suspect';
 }
 
-function highest(candidates: readonly Candidate[], key: string): Member | undefined {
+function highestWeighted(candidates: readonly Candidate[], key: string): Member | undefined {
   return new ZoneChoice(candidates, hash32(key)).best?.member;
 }
 
--- a/src/core/rendezvous.test.ts
+++ b/src/core/rendezvous.test.ts
@@ -10,7 +10,7 @@
     assert.deepEqual(rankNodes(key, NODES), rankNodes(key, NODES.toReversed()));
 });
 
-test('a node that goes moves only its own keys', () => {
+test('removing a node moves only its own keys', () => {
   const left = NODES.slice(1);
   for (const key of KEYS) {
     const [first] = rankNodes(key, NODES);
--- a/src/core/request.ts
+++ b/src/core/request.ts
@@ -22,15 +22,15 @@
   readonly service: string;
   readonly kind: string;
   readonly criticality: Criticality;
-  /** Absolute end of usefulness, in milliseconds of the local monotonic clock. */
+  /** Absolute time after which an answer is useless, in ms of the local monotonic clock. */
   readonly deadline: number;
   /** Absolute time until which an answer has its full value; absent: until the deadline. */
   readonly dueAt?: number;
-  /** Whether a repeat of a request that may have run is allowed. */
+  /** Whether the request may be retried when it may already have run. */
   readonly idempotent: boolean;
   /** Service hops above this one; 0 at the caller's entry. */
   readonly depth: number;
-  /** Whether a call made for the same run, or for one above, has been served: work that a refusal wastes. */
+  /** Whether a call of the same run, or of one above, was served; a refusal wastes that work. */
   readonly committed?: boolean;
 }
 
@@ -38,7 +38,7 @@
 export type AttemptOutcome =
   /** A complete answer that was not a refusal. */
   | 'success'
-  /** The target (or the node before it) refused for load; not run. */
+  /** The target (or its fronting node) refused for load; not run. */
   | 'overloaded'
   /** The target said that it is leaving; not run. */
   | 'draining'
@@ -51,7 +51,7 @@
   /** The caller went away first. */
   | 'cancelled';
 
-/** Load of one target as carried on answers from the node before it. */
+/** Load of one target, as its fronting node reports it on answers. */
 export interface LoadReport {
   /** Requests being served now. */
   readonly inFlight: number;
@@ -66,6 +66,6 @@
    * requests with {@link admissionPriority} below the threshold would be refused.
    */
   readonly threshold: number;
-  /** Share of late attempts that were sent and not answered, 0 to 1; absent: not counted. */
+  /** Share of recent attempts that were sent and not answered, 0 to 1; absent: not counted. */
   readonly failureShare?: number;
 }
--- a/src/core/result-code.test.ts
+++ b/src/core/result-code.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { RESULT_CODES, ResultCode } from './result-code.js';
 
-test('every result code has its row in docs/RESULT-CODES.md and no other row stands there', () => {
+test('docs/RESULT-CODES.md has one row for every result code and no other rows', () => {
   const page = readFileSync('docs/RESULT-CODES.md', 'utf8');
   const rows = page.split('\n').filter((line) => /^\| \d+ \|/.test(line));
   const expected = [...RESULT_CODES.values()].map(
--- a/src/core/result-code.ts
+++ b/src/core/result-code.ts
@@ -146,7 +146,7 @@
   [ResultCode.Internal, 'Internal error', 500, 'unknown'],
 ];
 
-/** Refusals that say that a service has too much to do. */
+/** Refusals that mean that a service is overloaded. */
 const LOAD_REFUSALS: ReadonlySet<ResultCode> = new Set([
   ResultCode.AdmissionRefused,
   ResultCode.QueueFull,
