--- a/src/core/claim/answer-store.ts
+++ b/src/core/claim/answer-store.ts
@@ -1,8 +1,8 @@
-/** Answers kept for repeats of a key, within a byte budget; the oldest go first. */
+/** Answers retained for retries of a key, within a byte budget; evicts the oldest first. */
 import type { HttpAnswer } from '../http-message.js';
 import { MAX_KEPT_ANSWER_BYTES, MAX_KEPT_ANSWERS_BYTES } from './claim-limits.js';
 
-/** Bytes counted per answer for its status and its place in the tables. */
+/** Bytes counted per answer for its status and its entry in the table. */
 const ANSWER_OVERHEAD_BYTES = 64;
 
 function sizeOf(answer: HttpAnswer): number {
@@ -24,19 +24,19 @@
     return this.answers.get(key);
   }
 
-  /** Keeps an answer unless it is too large; makes room by forgetting the oldest ones. */
-  keep(key: string, answer: HttpAnswer): void {
+  /** Adds an answer unless it is too large; evicts the oldest ones to make room. */
+  add(key: string, answer: HttpAnswer): void {
     const size = sizeOf(answer);
     if (size > this.maxAnswerBytes || this.answers.has(key)) return;
     this.answers.set(key, answer);
     this.bytes += size;
     for (const oldest of this.answers.keys()) {
       if (this.bytes <= this.maxTotalBytes) break;
-      this.forget(oldest);
+      this.delete(oldest);
     }
   }
 
-  forget(key: string): void {
+  delete(key: string): void {
     const answer = this.answers.get(key);
     if (answer === undefined) return;
     this.bytes -= sizeOf(answer);
--- a/src/core/claim/attempt-budgets.ts
+++ b/src/core/claim/attempt-budgets.ts
@@ -7,7 +7,7 @@
 /** Value of a free slot. */
 const FREE = '';
 
-/** Value of a slot that recovered tables gave to two charges: nobody gets it. */
+/** Value of a slot that recovered tables assign to two charges: no charge gets it. */
 const CONFLICT = '!';
 
 /** Slots of one request id. */
@@ -16,17 +16,17 @@
   readonly key: string;
   /** Charge that holds each slot; empty when free. */
   readonly slots: readonly string[];
-  /** First charge, Unix milliseconds of the replica. */
+  /** Time of the first charge, in Unix milliseconds of the replica. */
   readonly createdAtMs: number;
 }
 
 /** A charge as a replica sees it. */
 export interface BudgetCharge {
   readonly key: string;
-  /** Unique per charge; a repeat of the message gets the same slots. */
+  /** Unique per charge; a repeated message gets the same slots. */
   readonly chargeId: string;
   readonly wanted: number;
-  /** Slots of the request id; the first charge decides. */
+  /** Number of slots of the request id; the first charge sets it. */
   readonly bound: number;
 }
 
@@ -56,7 +56,7 @@
   /**
    * Takes free slots for a charge.
    *
-   * @returns numbers of the slots that the charge holds now, or `undefined` when the table is full
+   * @returns indexes of the slots that the charge holds now, or `undefined` when the table is full
    */
   charge(charge: BudgetCharge, wallNowMs: number): readonly number[] | undefined {
     const known = this.entries.get(charge.key);
@@ -73,8 +73,8 @@
     return held;
   }
 
-  /** Frees slots that the charge holds and does not use. */
-  giveBack(key: string, chargeId: string, unused: readonly number[]): void {
+  /** Frees slots that the charge holds but does not use. */
+  release(key: string, chargeId: string, unused: readonly number[]): void {
     const entry = this.entries.get(key);
     if (entry === undefined) return;
     const slots = entry.slots.map((holder, index) =>
--- a/src/core/claim/charge-coordinator.test.ts
+++ b/src/core/claim/charge-coordinator.test.ts
@@ -27,11 +27,11 @@
   readonly reaches: readonly boolean[];
   /** Members whose replies arrive. */
   readonly replies: readonly boolean[];
-  /** Whether unused slots are given back. */
-  readonly givesBack: boolean;
+  /** Whether unused slots are returned. */
+  readonly returnsUnused: boolean;
 }
 
-/** Charges one request id from many coordinators; returns the attempts granted in all. */
+/** Charges one request id from many coordinators; returns the total of granted attempts. */
 function run(bound: number, steps: readonly Step[]): number {
   const replicas = NODES.map((nodeId) => startReplica(nodeId, 1));
   let granted = 0;
@@ -69,7 +69,7 @@
   const unused = Array.from({ length: bound }, (_, slot) => slot).filter(
     (slot) => !slots.includes(slot),
   );
-  if (step.givesBack) {
+  if (step.returnsUnused) {
     for (const replica of replicas) {
       replica.handle({ type: 'give-back', epoch: 1, key: 'id', chargeId, unused }, 0);
     }
@@ -84,7 +84,7 @@
   wanted: fc.integer({ min: 1, max: 4 }),
   reaches: MASK,
   replies: MASK,
-  givesBack: fc.boolean(),
+  returnsUnused: fc.boolean(),
 });
 
 test('charges from any coordinators stay within the bound, with lost messages and restarts', () => {
@@ -96,10 +96,10 @@
   fc.assert(property, { numRuns: 3_000, seed: 20_261_202 });
 });
 
-test('one coordinator alone gets the whole bound', () => {
+test('a single coordinator gets the whole bound', () => {
   const everything = [true, true, true];
   for (let bound = 1; bound <= 8; bound += 1) {
-    const step = { action: 'charge', node: 0, wanted: bound, givesBack: true } as const;
+    const step = { action: 'charge', node: 0, wanted: bound, returnsUnused: true } as const;
     const single = { ...step, reaches: everything, replies: everything };
     assert.equal(run(bound, [single]), bound);
     const twoOfThree = { ...single, reaches: [true, false, true] };
--- a/src/core/claim/charge-coordinator.ts
+++ b/src/core/claim/charge-coordinator.ts
@@ -1,15 +1,15 @@
-/** Charge coordinator: which attempts of a request id a majority of replicas gave to one charge. */
+/** Charge coordinator: finds the attempts that a majority of replicas gave to one charge. */
 import { agree, hasMajority } from './placement.js';
 import type { AgreementRule, PlacementRecord, Vote } from './placement.js';
 import type { ReplicaReply } from './replica-messages.js';
 
-/** The end of one round of a charge. */
+/** Result of one round of a charge. */
 export interface ChargeOutcome {
   /** Slots that count; at most as many as wanted. */
   readonly slots: readonly number[];
-  /** Whether a majority of replicas that agree has answered. */
+  /** Whether a majority of replicas that agree has replied. */
   readonly heardMajority: boolean;
-  /** Whether replicas gave slots that found no majority, so that another round may help. */
+  /** Whether replicas gave slots, but none by a majority, so that another round may help. */
   readonly split: boolean;
 }
 
@@ -28,7 +28,7 @@
     private readonly rule: AgreementRule = agree,
   ) {}
 
-  /** Takes in the reply of a member; `undefined` when none came. */
+  /** Records the reply of a member; `undefined` when none arrived. */
   onReply(nodeId: string, reply: ReplicaReply | undefined): void {
     this.replies.set(nodeId, reply ?? { type: 'not-voting' });
   }
@@ -39,7 +39,7 @@
     return this.outcome().slots.length >= this.wanted;
   }
 
-  /** Counts the slots on the replies so far. */
+  /** Counts the slots in the replies so far. */
   outcome(): ChargeOutcome {
     const votes = this.votes();
     const offered = [...new Set(votes.flatMap((vote) => vote.slots))].sort((a, b) => a - b);
--- a/src/core/claim/claim-coordinator.test.ts
+++ b/src/core/claim/claim-coordinator.test.ts
@@ -25,7 +25,7 @@
 }
 
 const HELD: ReplicaReply = { type: 'held', attemptId: 'other' };
-const SILENT = undefined;
+const NO_REPLY = undefined;
 
 type Case = readonly [
   name: string,
@@ -36,19 +36,19 @@
 const CASES: readonly Case[] = [
   ['two grants that agree', { a: grant('a'), b: grant('b') }, 'granted'],
   ['one grant so far', { a: grant('a') }, 'waiting'],
-  ['one grant, two silent', { a: grant('a'), b: SILENT, c: SILENT }, 'undecided'],
+  ['one grant, two without a reply', { a: grant('a'), b: NO_REPLY, c: NO_REPLY }, 'undecided'],
   ['a grant from before a restart', { a: grant('a'), b: grant('b', 1, { a: 2 }) }, 'waiting'],
-  ['only one knows the other', { a: grant('a', 2), b: grant('b'), c: SILENT }, 'undecided'],
+  ['only one knows the other', { a: grant('a', 2), b: grant('b'), c: NO_REPLY }, 'undecided'],
   ['the third agrees', { a: grant('a', 2), b: grant('b'), c: grant('c') }, 'granted'],
   ['held at a majority', { a: HELD, b: HELD }, 'in-progress'],
   ['held at one', { a: HELD, b: grant('b') }, 'waiting'],
-  ['split', { a: HELD, b: grant('b'), c: SILENT }, 'undecided'],
+  ['split', { a: HELD, b: grant('b'), c: NO_REPLY }, 'undecided'],
   ['tables in conflict', { a: { type: 'held', attemptId: '' } }, 'in-progress'],
   ['finished with answer', { a: { type: 'finished', attemptId: 'x', answer: ANSWER } }, 'finished'],
   ['finished, answer elsewhere?', { a: { type: 'finished', attemptId: 'x' } }, 'waiting'],
   ['other request', { a: { type: 'reused' }, b: grant('b'), c: grant('c') }, 'reused'],
   ['too old', { a: { type: 'expired' } }, 'expired'],
-  ['nobody votes', { a: { type: 'not-voting' }, b: SILENT, c: { type: 'full' } }, 'undecided'],
+  ['nobody votes', { a: { type: 'not-voting' }, b: NO_REPLY, c: { type: 'full' } }, 'undecided'],
 ];
 
 test('verdict of a round by the replies so far', () => {
@@ -59,7 +59,7 @@
   }
 });
 
-test('a round that gave up is not granted by later replies', () => {
+test('later replies do not grant a round that has been given up', () => {
   const round = new ClaimRound(RECORD);
   round.onReply('a', grant('a'));
   round.giveUp();
--- a/src/core/claim/claim-coordinator.ts
+++ b/src/core/claim/claim-coordinator.ts
@@ -1,19 +1,19 @@
 /**
  * Claim coordinator: collects the replicas' replies to one claim and decides. Pure; the claim
- * task sends the messages and keeps the time.
+ * task sends the messages and runs the timers.
  */
 import type { HttpAnswer } from '../http-message.js';
 import { agree, hasMajority, majorityOf } from './placement.js';
 import type { AgreementRule, PlacementRecord, Vote } from './placement.js';
 import type { ReplicaReply } from './replica-messages.js';
 
-/** What the replies so far amount to. */
+/** Decision on the replies received so far. */
 export type ClaimVerdict =
   /** A majority granted the key to this attempt. */
   | { readonly type: 'granted' }
-  /** Replies that are still to come may decide. */
+  /** Outstanding replies may decide. */
   | { readonly type: 'waiting' }
-  /** No majority for anybody in this round; a new round may decide. */
+  /** No attempt has a majority in this round; a new round may decide. */
   | { readonly type: 'undecided' }
   /** An earlier attempt holds the key. */
   | { readonly type: 'in-progress' }
@@ -31,14 +31,14 @@
     private readonly rule: AgreementRule = agree,
   ) {}
 
-  /** Takes in the reply of a member; `undefined` when none came. Later replies replace earlier ones. */
+  /** Records a member's reply, replacing its earlier one; `undefined` when none arrived. */
   onReply(nodeId: string, reply: ReplicaReply | undefined): void {
     this.replies.set(nodeId, reply ?? { type: 'not-voting' });
   }
 
   /**
-   * Ends the round without a grant: no later reply turns it into one. Only after this may the
-   * grants be released.
+   * Ends the round without a grant; later replies cannot grant it. The grants may be released
+   * only after this.
    */
   giveUp(): void {
     this.closed = true;
@@ -60,17 +60,17 @@
 
   /** Whether some replica reported an earlier attempt. */
   get sawEarlierAttempt(): boolean {
-    return this.list().some((reply) => reply.type === 'held');
+    return this.listReplies().some((reply) => reply.type === 'held');
   }
 
-  /** Whether a majority that agrees had no earlier attempt: then none was dispatched. */
+  /** Whether a majority that agrees had no earlier attempt, so that none was dispatched. */
   get provesNoEarlierAttempt(): boolean {
     return !this.sawEarlierAttempt && hasMajority(this.votes(), this.record, this.rule);
   }
 
-  /** A newer record that a replica told about. */
+  /** Finds a newer record that a replica reported. */
   findNewerRecord(): PlacementRecord | undefined {
-    for (const reply of this.list()) {
+    for (const reply of this.listReplies()) {
       if (reply.type === 'not-voting' && (reply.record?.epoch ?? 0) > this.record.epoch) {
         return reply.record;
       }
@@ -78,17 +78,17 @@
     return undefined;
   }
 
-  private list(): readonly ReplicaReply[] {
+  private listReplies(): readonly ReplicaReply[] {
     return [...this.replies.values()];
   }
 
   private votes(): readonly Vote[] {
-    return this.list().flatMap((reply) => (reply.type === 'granted' ? [reply.vote] : []));
+    return this.listReplies().flatMap((reply) => (reply.type === 'granted' ? [reply.vote] : []));
   }
 
-  /** One replica suffices: such a record is only written after a dispatch or about the key itself. */
+  /** One replica suffices: it writes such an entry only after a dispatch, or about the key itself. */
   private findRefusal(): ClaimVerdict | undefined {
-    const replies = this.list();
+    const replies = this.listReplies();
     const finished = replies.filter((reply) => reply.type === 'finished');
     const answered = finished.find((reply) => reply.answer !== undefined);
     if (answered?.answer !== undefined) return { type: 'finished', answer: answered.answer };
@@ -102,7 +102,9 @@
   }
 
   private isHeldByOther(): boolean {
-    const held = this.list().flatMap((reply) => (reply.type === 'held' ? [reply.attemptId] : []));
+    const held = this.listReplies().flatMap((reply) =>
+      reply.type === 'held' ? [reply.attemptId] : [],
+    );
     const wanted = majorityOf(this.record.members.length);
     if (held.includes('')) return true;
     return held.some((holder) => held.filter((other) => other === holder).length >= wanted);
--- a/src/core/claim/claim-groups.test.ts
+++ b/src/core/claim/claim-groups.test.ts
@@ -52,7 +52,7 @@
   assert.deepEqual(chooseMembers(undefined, [], groupName(0)), []);
 });
 
-test('the places of 64 groups are spread over a fleet of 1,000 nodes', () => {
+test('the members of 64 groups are spread over a fleet of 1,000 nodes', () => {
   const candidates = Array.from({ length: 1_000 }, (_, index) =>
     createCandidate(`node-${index}`, `zone-${index % 9}`),
   );
--- a/src/core/claim/claim-groups.ts
+++ b/src/core/claim/claim-groups.ts
@@ -1,7 +1,7 @@
-/** How keys and fleets are divided into replica groups. */
+/** Divides keys and the nodes of a fleet into replica groups. */
 import { hash32 } from '../hash.js';
 
-/** Groups of a fleet at most. */
+/** Maximum number of groups in a fleet. */
 export const MAX_GROUPS = 64;
 
 /** Nodes per group when the number of groups is not set. */
@@ -12,12 +12,12 @@
   return hash32(key) % groups;
 }
 
-/** Number of groups for a fleet that starts with so many nodes. */
+/** Number of groups for a fleet that starts with `nodes` nodes. */
 export function defaultGroupCount(nodes: number): number {
   return Math.min(MAX_GROUPS, Math.max(1, Math.ceil(nodes / NODES_PER_GROUP)));
 }
 
-/** Name by which a group's members are chosen among the nodes. */
+/** Name from which a group's members are chosen among the nodes. */
 export function groupName(group: number): string {
   return `claim-group-${group}`;
 }
--- a/src/core/claim/claim-limits.ts
+++ b/src/core/claim/claim-limits.ts
@@ -1,6 +1,6 @@
 /** Limits and durations of the claim protocol. See docs/design/claims.md. */
 
-/** Age of a key, by its own time stamp, from which on it is refused, in milliseconds. */
+/** Age, by its own time stamp, above which a key is refused, in milliseconds. */
 export const KEY_HORIZON_MS = 300_000;
 
 /**
@@ -9,25 +9,25 @@
  */
 export const MAX_CLOCK_SKEW_MS = 30_000;
 
-/** Time an entry is kept beyond the horizon, so that no replica accepts a key that another forgot. */
+/** Time an entry outlives the horizon, so that no replica accepts a key that another evicted. */
 export const RETENTION_MARGIN_MS = 2 * MAX_CLOCK_SKEW_MS;
 
-/** Time in which a granted attempt may be dispatched, in milliseconds; far inside the horizon. */
+/** Time within which a granted attempt may be dispatched, in ms; far below the horizon. */
 export const DISPATCH_WINDOW_MS = 30_000;
 
 /** Time for which the attempt budget of a request id is kept, in milliseconds. */
 export const BUDGET_RETENTION_MS = 120_000;
 
-/** Claims that one replica holds at most; more are refused. */
+/** Maximum number of claims at one replica; more are refused. */
 export const MAX_CLAIMS = 30_000;
 
-/** Attempt budgets that one replica holds at most; more are refused. */
+/** Maximum number of attempt budgets at one replica; more are refused. */
 export const MAX_BUDGETS = 20_000;
 
-/** Largest answer kept for repeats, in bytes of body. */
+/** Largest answer kept for retries, in bytes with its header fields. */
 export const MAX_KEPT_ANSWER_BYTES = 65_536;
 
-/** Bytes of answers that one replica keeps; the oldest go first. */
+/** Bytes of answers that one replica keeps; the oldest are evicted first. */
 export const MAX_KEPT_ANSWERS_BYTES = 4_194_304;
 
 /** Replicas of a group when enough zones have a live node. */
--- a/src/core/claim/claim-protocol.test.ts
+++ b/src/core/claim/claim-protocol.test.ts
@@ -1,7 +1,7 @@
 /**
  * Replays the actions of spec/claim.pml and spec/claim-placement.pml on the real state machines in
- * random order: late and repeated messages, restarts, changes of epoch. The same runs on state
- * machines with one rule removed must break the property.
+ * random order, with late and repeated messages, restarts and changes of epoch. The same runs on
+ * state machines with one rule removed must break the property.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -24,8 +24,8 @@
 const MAX_RESTARTS = 2;
 const MAX_COORDINATORS = 4;
 
-/** Schedules without a dispatch that must have been seen, so that the check is not empty. */
-const MIN_FREE_ENDS = 100;
+/** Minimum number of schedules that end with a free key, so that the check is not vacuous. */
+const MIN_FREE_SCHEDULES = 100;
 
 /** A rule that a mutation removes. */
 type Mutation =
@@ -34,19 +34,19 @@
   | 'dispatches after giving up'
   | 'releases after dispatch'
   | 'new members start empty'
-  | 'recovers without the stop';
+  | 'recovers without the promise';
 
 /** A replica that votes as soon as it has read one other member. */
-class HastyReplica extends ClaimReplica {
+class EarlyVotingReplica extends ClaimReplica {
   protected override mustReadMore(): boolean {
     return false;
   }
 }
 
-/** A replica that inherits the claims, but not that the epoch was stopped. */
-class ForgetfulReplica extends ClaimReplica {
-  protected override inherit(memory: ReplicaMemory): void {
-    super.inherit({ table: memory.table });
+/** A replica that reads the claims, but not the promise that stopped the epoch. */
+class PromiseLosingReplica extends ClaimReplica {
+  protected override mergeMemory(memory: ReplicaMemory): void {
+    super.mergeMemory({ table: memory.table });
   }
 }
 
@@ -60,18 +60,18 @@
   delivered: boolean;
 }
 
-/** The two numbers behind an action: which one, and on what. */
+/** Parameters of an action: who acts, and on which node. */
 interface Choice {
   /** Coordinator, proposer or reading node. */
   readonly actor: number;
   /** Node that handles the message. */
   readonly node: number;
-  /** Whether the reply comes late (or never) instead of at once. */
+  /** Whether the reply arrives late (or never) instead of at once. */
   readonly late: boolean;
 }
 
-/** Replicas, coordinators and proposers with the replies under way. */
-class World {
+/** Replicas, coordinators and proposers with the replies in flight. */
+class Simulation {
   dispatches = 0;
   readonly decided = new Set<string>();
   private readonly replicas = new Map<string, ClaimReplica>();
@@ -99,9 +99,13 @@
   }
 
   private startReplica(nodeId: string, incarnation: number): void {
-    const hasty = this.mutation === 'votes before it has read all';
-    const forgetful = this.mutation === 'recovers without the stop';
-    const type = hasty ? HastyReplica : forgetful ? ForgetfulReplica : ClaimReplica;
+    const votesEarly = this.mutation === 'votes before it has read all';
+    const losesPromise = this.mutation === 'recovers without the promise';
+    const type = votesEarly
+      ? EarlyVotingReplica
+      : losesPromise
+        ? PromiseLosingReplica
+        : ClaimReplica;
     const replica = new type({ nodeId, incarnation });
     this.replicas.set(nodeId, replica);
     replica.observe(this.first);
@@ -111,7 +115,7 @@
     return NODES[choice.node % NODES.length]!;
   }
 
-  /** A message arrives at a node; its reply comes back now, or late and perhaps repeatedly. */
+  /** Delivers a message to a node; its reply arrives now, or late and perhaps repeatedly. */
   private send(
     choice: Choice,
     request: ReplicaRequest,
@@ -171,7 +175,7 @@
     for (const nodeId of reached) this.sendRelease(coordinator, nodeId, record);
   }
 
-  /** Notes who has confirmed in which epoch, as a coordinator does. */
+  /** Records which member has confirmed in which epoch, as a coordinator does. */
   private sendRelease(coordinator: Coordinator, nodeId: string, record: PlacementRecord): void {
     const { attemptId, confirmed } = coordinator;
     const { epoch } = record;
@@ -183,10 +187,10 @@
   }
 
   /**
-   * Quiet at last: a change of epoch that was begun is completed, and coordinators that have not
-   * dispatched give up and repeat their releases to members that have not confirmed.
+   * Ends the schedule: completes a change of epoch that was begun; coordinators that have not
+   * dispatched give up and send their releases again to members that have not confirmed.
    *
-   * @returns whether the key can be claimed then; `undefined` when that is not to be expected
+   * @returns whether the key can be claimed then; `undefined` when it need not be claimable
    */
   becomesFree(): boolean | undefined {
     this.readAll();
@@ -218,20 +222,20 @@
     }
   }
 
-  /** A last proposer carries a change through that others have begun. */
+  /** Completes a change that others have begun, with a last proposer. */
   private runLastChange(): EpochChange | undefined {
     if (![...this.replicas.values()].some(({ status }) => status === 'sealed')) return undefined;
     const ballot = { round: 2, nodeId: 'proposer-last' };
     const members = OLD_MEMBERS.map((nodeId) => this.replicas.get(nodeId)!.self);
     const proposed: PlacementRecord = { epoch: 2, members, fresh: false, floorMs: 0 };
     const change = new EpochChange(this.first, ballot, proposed, this.rule);
-    const askAll = (request: ReplicaRequest): void => {
+    const sendToAll = (request: ReplicaRequest): void => {
       for (const nodeId of OLD_MEMBERS) {
         change.onReply(this.replicas.get(nodeId)!.handle(request, WALL_NOW_MS));
       }
     };
-    askAll({ type: 'prepare', epoch: 1, ballot });
-    askAll({ type: 'accept', epoch: 1, ballot, successor: change.successor });
+    sendToAll({ type: 'prepare', epoch: 1, ballot });
+    sendToAll({ type: 'accept', epoch: 1, ballot, successor: change.successor });
     return change.step === 'decided' ? change : undefined;
   }
 
@@ -250,7 +254,7 @@
     this.startReplica(this.nodeOf(choice), 1 + this.restarts);
   }
 
-  /** A recovering or pending replica reads another member. */
+  /** Lets a recovering or pending replica read another member. */
   read(choice: Choice): void {
     const replica = this.replicas.get(NODES[choice.actor % NODES.length]!)!;
     if (!replica.unreadMembers().includes(this.nodeOf(choice))) return;
@@ -274,7 +278,7 @@
     const change = this.findChange(choice.actor % NEXT_MEMBERS.length);
     const { ballot } = change;
     this.send(choice, { type: 'prepare', epoch: 1, ballot }, (reply) => {
-      // A repeated message is rejected by its own ballot; in a node nobody waits for that reply.
+      // A repeated message is rejected by its own ballot; a node does not wait for that reply.
       if (reply.type !== 'rejected') change.onReply(reply);
     });
   }
@@ -307,7 +311,7 @@
     this.send(choice, { type: 'establish', record: this.next }, () => {});
   }
 
-  /** A reply that was under way arrives, perhaps not for the first time. */
+  /** Delivers a late reply, perhaps not for the first time. */
   takeLateReply(choice: Choice): void {
     this.lateReplies[choice.node % Math.max(1, this.lateReplies.length)]?.();
   }
@@ -320,7 +324,7 @@
   }
 }
 
-/** Actions with their share in a schedule. */
+/** Actions with their weights in a schedule. */
 const ACTIONS = {
   claim: 10,
   decide: 4,
@@ -355,9 +359,9 @@
 /** Runs random schedules; returns the first one that breaks a property. */
 function findViolation(mutation: Mutation | undefined, runs: number): unknown {
   const property = fc.property(SCHEDULE, (schedule) => {
-    const world = new World(mutation);
-    for (const [action, choice] of schedule) world.act(action, choice);
-    return world.dispatches <= 1 && world.decided.size <= 1;
+    const simulation = new Simulation(mutation);
+    for (const [action, choice] of schedule) simulation.act(action, choice);
+    return simulation.dispatches <= 1 && simulation.decided.size <= 1;
   });
   return fc.check(property, { numRuns: runs, seed: 20_261_202, endOnFailure: true }).counterexample;
 }
@@ -365,18 +369,18 @@
 test('after random schedules a key is free again once its claimants have given up', () => {
   let free = 0;
   const property = fc.property(SCHEDULE, (schedule) => {
-    const world = new World();
+    const simulation = new Simulation();
     for (const [action, choice] of schedule) {
-      // Messages of one connection keep their order: no claim comes after its own release.
-      if (action !== 'claim' || !world.hasGivenUp(choice)) world.act(action, choice);
+      // Messages of one connection keep their order: no claim arrives after its own release.
+      if (action !== 'claim' || !simulation.hasGivenUp(choice)) simulation.act(action, choice);
     }
-    const isFree = world.becomesFree();
+    const isFree = simulation.becomesFree();
     if (isFree === true) free += 1;
     return isFree !== false;
   });
   const result = fc.check(property, { numRuns: 3_000, seed: 20_261_202, endOnFailure: true });
   assert.equal(result.counterexample, null);
-  assert.ok(free >= MIN_FREE_ENDS, `${free} schedules ended with a free key`);
+  assert.ok(free >= MIN_FREE_SCHEDULES, `${free} schedules ended with a free key`);
 });
 
 test('random schedules on the real state machines dispatch a key at most once', () => {
@@ -389,7 +393,7 @@
   'dispatches after giving up',
   'releases after dispatch',
   'new members start empty',
-  'recovers without the stop',
+  'recovers without the promise',
 ];
 
 for (const mutation of MUTATIONS) {
--- a/src/core/claim/claim-replica.ts
+++ b/src/core/claim/claim-replica.ts
@@ -2,8 +2,8 @@
  * Claim replica: the state machine that votes on keys, recovers after a restart by reading the
  * other members, and stops voting when its group agrees on the next epoch.
  *
- * Pure: requests and wall time in, replies out. spec/claim.pml and spec/claim-placement.pml hold
- * the protocol; docs/design/claims.md explains it.
+ * Pure: requests and wall time in, replies out. spec/claim.pml and spec/claim-placement.pml
+ * specify the protocol; docs/design/claims.md explains it.
  */
 import { isExpired } from './claim-key.js';
 import { ClaimTable, type ClaimSubject } from './claim-table.js';
@@ -44,12 +44,11 @@
   /** @param self identity of this process */
   constructor(readonly self: Incarnation) {}
 
-  /** What the replica does now. */
   get status(): ReplicaStatus {
     return this.state;
   }
 
-  /** Record in which this replica takes part. */
+  /** Newest record that this replica has entered, whether or not the record names this node. */
   get record(): PlacementRecord | undefined {
     return this.current;
   }
@@ -84,7 +83,7 @@
         return this.acknowledge(request.epoch);
       case 'give-back':
         if (!this.keepsTable()) return this.notVoting();
-        this.table.budgets.giveBack(request.key, request.chargeId, request.unused);
+        this.table.budgets.release(request.key, request.chargeId, request.unused);
         return this.acknowledge(request.epoch);
       case 'recover':
         return this.onRecover(request);
@@ -102,14 +101,14 @@
     }
   }
 
-  /** Forgets what has expired. */
+  /** Discards expired claims and budgets. */
   expire(wallNowMs: number): void {
     this.table.expire(wallNowMs);
   }
 
   /**
-   * Takes note of an established record. A member that was started after the record was agreed
-   * begins to recover; a replica of an older epoch forgets it.
+   * Records an established record. A member that was started after the record was agreed begins to
+   * recover; a replica of an older epoch discards that epoch's tables.
    */
   observe(record: PlacementRecord): void {
     if (record.epoch > (this.established?.epoch ?? 0)) this.established = record;
@@ -121,7 +120,7 @@
     else this.state = record.fresh ? 'voting' : 'pending';
   }
 
-  /** Planned stop: from now on the node is no candidate for a next epoch. */
+  /** Starts the planned stop: this node is no longer a candidate for a next epoch. */
   withdraw(): void {
     this.willing = false;
   }
@@ -133,21 +132,22 @@
     return this.others(this.current).filter((nodeId) => !this.recoveredFrom.has(nodeId));
   }
 
-  /** The request by which a recovering replica reads another one's tables. */
+  /** The request with which a recovering or pending replica reads another one's tables. */
   createRecoverRequest(): RecoverMessage {
     return { type: 'recover', epoch: this.current?.epoch ?? 0, ...this.self };
   }
 
   /**
-   * Takes in a reply to {@link createRecoverRequest}. A restarted replica votes again once it has
-   * read every other member; a pending one, which has never voted in this epoch, after any one.
+   * Handles a reply to {@link createRecoverRequest}. A restarted replica votes again once it has
+   * read every other member; a pending one, which has never voted in this epoch, after reading any
+   * one member.
    */
   onRecovered(reply: ReplicaReply): void {
     if (reply.type !== 'recovered' || this.unreadMembers().length === 0) return;
     if (reply.vote.epoch !== this.current?.epoch) return;
     this.recoveredFrom.add(reply.vote.nodeId);
     this.known.set(reply.vote.nodeId, reply.vote.incarnation);
-    this.inherit(reply.memory);
+    this.mergeMemory(reply.memory);
     if (this.mustReadMore()) return;
     this.state = this.promised === undefined ? 'voting' : 'sealed';
   }
@@ -181,7 +181,7 @@
     return { type: 'granted', vote: this.vote() };
   }
 
-  /** Rounds that release before their claim arrives are remembered, so that it holds nothing. */
+  /** Records rounds whose release arrives before their claim, so that the claim is not granted. */
   private onRelease(request: ReleaseMessage): ReplicaReply {
     if (!this.keepsTable()) return this.notVoting();
     const wasHolder = this.table.release(request.key, request.attemptId);
@@ -190,9 +190,10 @@
   }
 
   /**
-   * Confirms a change of the table only while this replica votes in the sender's epoch. A stopped
-   * replica has handed over its table, perhaps before the change; another epoch's table may be
-   * replaced by one that was handed over. Then the sender repeats the message to the next epoch.
+   * Confirms a change of the table only while this replica votes in the sender's epoch. A sealed
+   * replica has transferred its table, perhaps before the change; another epoch's table may be
+   * replaced by a transferred one. In both cases the sender sends the message again to the next
+   * epoch.
    */
   private acknowledge(epoch: number): ReplicaReply {
     return this.votesIn(epoch) ? DONE : this.notVoting();
@@ -205,7 +206,7 @@
     return { type: 'charged', vote: this.vote(), slots };
   }
 
-  /** A restarted member reads this replica: from now on only its new incarnation counts here. */
+  /** Lets a restarted member read this replica; from now on only its new incarnation counts. */
   private onRecover(request: RecoverMessage): ReplicaReply {
     if (!this.keepsTable() || request.epoch !== this.current?.epoch) return this.notVoting();
     const known = this.known.get(request.nodeId);
@@ -235,7 +236,7 @@
     return { type: 'accepted', vote: this.vote() };
   }
 
-  /** Starts voting in an agreed epoch; an incarnation that the record does not name may not. */
+  /** Starts voting in an agreed epoch, unless the record does not name this incarnation. */
   private onInstall(request: InstallMessage): ReplicaReply {
     const { record, table } = request;
     const epoch = this.current?.epoch ?? 0;
@@ -259,14 +260,14 @@
     this.table.clear();
   }
 
-  /** A replica that is alone in its group has nobody to read from: its memory is lost for good. */
+  /** The only replica of a group has no other member to read: its memory is permanently lost. */
   private startRecovery(): void {
     this.state = 'recovering';
     this.known.set(this.self.nodeId, this.self.incarnation);
   }
 
-  /** Takes over what another member remembers. */
-  protected inherit(memory: ReplicaMemory): void {
+  /** Merges the memory of another member into this one's. */
+  protected mergeMemory(memory: ReplicaMemory): void {
     this.table.merge(memory.table);
     if (memory.promised !== undefined && isBelow(this.promised, memory.promised)) {
       this.promised = memory.promised;
--- a/src/core/claim/claim-table.ts
+++ b/src/core/claim/claim-table.ts
@@ -6,15 +6,15 @@
 
 /**
  * State of one key: `held` by an attempt that may be dispatched, `finished` after its dispatch,
- * `conflict` when joined tables name several attempts: nobody gets the key until all of them but
- * one have released it.
+ * `conflict` when merged tables name several attempts: no attempt gets the key until all of them
+ * but one have released it.
  */
 export type ClaimPhase = 'held' | 'finished' | 'conflict';
 
-/** Attempts that one key names at most; with more, nobody gets it before it expires. */
+/** Maximum number of attempts that a key names; with more, no attempt gets it before it expires. */
 const MAX_HOLDERS = 9;
 
-/** Stands for more attempts than are kept; no attempt has this id, so nobody releases it. */
+/** Stands for more attempts than are recorded; no attempt has this id, so it is never released. */
 const UNKNOWN_HOLDER = '';
 
 /** What identifies a claim. */
@@ -38,13 +38,13 @@
   readonly answer?: HttpAnswer;
 }
 
-/** A copy of a replica's memory, for recovery and hand-over. */
+/** A copy of a replica's tables, for recovery and for transfer to the next epoch. */
 export interface TableSnapshot {
   readonly claims: readonly ClaimEntry[];
   readonly budgets: readonly BudgetEntry[];
 }
 
-/** Joins what two replicas know of a key. */
+/** Merges the entries of two replicas for a key. */
 function mergeEntries(left: ClaimEntry, right: ClaimEntry): ClaimEntry {
   if (left.phase === 'finished')
     return left.answer === undefined ? preferFinished(right, left) : left;
@@ -52,12 +52,12 @@
   return withHolders(left, [...new Set([...holdersOf(left), ...holdersOf(right)])]);
 }
 
-/** Attempts that may have been dispatched, as far as this entry tells. */
+/** Attempts that, according to this entry, may have been dispatched. */
 function holdersOf(entry: ClaimEntry): readonly string[] {
   return [entry.attemptId, ...(entry.rivals ?? [])];
 }
 
-/** The entry with other holders, of which there is at least one. */
+/** The entry with its holders replaced; `holders` is not empty. */
 function withHolders(entry: ClaimEntry, holders: readonly string[]): ClaimEntry {
   const { key, issuedAtMs, fingerprint } = entry;
   const [attemptId = '', ...rivals] = holders.length > MAX_HOLDERS ? [UNKNOWN_HOLDER] : holders;
@@ -70,8 +70,8 @@
   return candidate.phase === 'finished' ? candidate : otherwise;
 }
 
-/** Whether a key is so old that no replica accepts it any more. */
-function isForgettable(issuedAtMs: number, wallNowMs: number): boolean {
+/** Whether a key is so old that no replica accepts it any longer. */
+function isPastRetention(issuedAtMs: number, wallNowMs: number): boolean {
   return wallNowMs - issuedAtMs > KEY_HORIZON_MS + RETENTION_MARGIN_MS;
 }
 
@@ -96,7 +96,7 @@
     return answer === undefined ? entry : { ...entry, answer };
   }
 
-  /** Gives a free key to an attempt. Returns false when the table is full. */
+  /** Grants a free key to an attempt. Returns false when the table is full. */
   hold(subject: ClaimSubject): boolean {
     if (this.claims.size >= this.maxClaims) return false;
     const { key, issuedAtMs, fingerprint, attemptId } = subject;
@@ -105,7 +105,7 @@
   }
 
   /**
-   * Takes an attempt off a key; without another holder the key is free.
+   * Removes an attempt from the holders of a key; a key without holders is free.
    *
    * @returns whether the attempt was a holder of the key
    */
@@ -127,15 +127,15 @@
     if (known === undefined && this.claims.size >= this.maxClaims) return;
     if (known?.phase === 'finished' && known.attemptId !== attemptId) return;
     this.claims.set(key, { key, issuedAtMs, fingerprint, attemptId, phase: 'finished' });
-    if (answer !== undefined) this.answers.keep(key, answer);
+    if (answer !== undefined) this.answers.add(key, answer);
   }
 
-  /** Forgets what has expired. */
+  /** Discards expired claims, answers and budgets. */
   expire(wallNowMs: number): void {
     for (const [key, entry] of this.claims) {
-      if (!isForgettable(entry.issuedAtMs, wallNowMs)) continue;
+      if (!isPastRetention(entry.issuedAtMs, wallNowMs)) continue;
       this.claims.delete(key);
-      this.answers.forget(key);
+      this.answers.delete(key);
     }
     this.budgets.expire(wallNowMs);
   }
@@ -146,19 +146,18 @@
     return { claims, budgets: this.budgets.snapshot() };
   }
 
-  /** Joins a copy of another replica's table into this one; the bound on claims may be exceeded. */
+  /** Merges a copy of another replica's table, even beyond the bound on claims. */
   merge(snapshot: TableSnapshot): void {
     for (const incoming of snapshot.claims) {
       const known = this.find(incoming.key);
       const merged = known === undefined ? incoming : mergeEntries(known, incoming);
       const { answer, ...entry } = merged;
       this.claims.set(entry.key, entry);
-      if (answer !== undefined) this.answers.keep(entry.key, answer);
+      if (answer !== undefined) this.answers.add(entry.key, answer);
     }
     this.budgets.merge(snapshot.budgets);
   }
 
-  /** Forgets everything. */
   clear(): void {
     this.claims.clear();
     this.answers.clear();
--- a/src/core/claim/ended-rounds.ts
+++ b/src/core/claim/ended-rounds.ts
@@ -1,6 +1,6 @@
-/** Rounds of claims that have been given up, remembered for a claim that arrives after its release. */
+/** Claim rounds that have been given up, recorded for a claim that arrives after its release. */
 
-/** Rounds remembered; the oldest are forgotten first. */
+/** Maximum number of recorded rounds; the oldest are evicted first. */
 const MAX_ENDED_ROUNDS = 4_096;
 
 /** A bounded set of round ids. */
--- a/src/core/claim/epoch-change.ts
+++ b/src/core/claim/epoch-change.ts
@@ -13,7 +13,7 @@
   type ReplicaReply,
 } from './replica-messages.js';
 
-/** What the proposer does next. */
+/** State of a proposal. */
 export type EpochChangeStep = 'preparing' | 'accepting' | 'decided' | 'rejected';
 
 /** One proposal under one ballot. */
@@ -26,7 +26,7 @@
 
   /**
    * @param old record of the epoch to end
-   * @param proposed record of the next epoch; an earlier accepted one takes its place
+   * @param proposed record of the next epoch; replaced by one that was accepted earlier
    */
   constructor(
     readonly old: PlacementRecord,
@@ -37,7 +37,6 @@
     this.chosen = proposed;
   }
 
-  /** Where the proposal stands. */
   get step(): EpochChangeStep {
     return this.phase;
   }
@@ -47,17 +46,17 @@
     return this.chosen;
   }
 
-  /** Ballot that a member promised to somebody else, when rejected. */
+  /** Ballot that a member promised to another proposer, when rejected. */
   get rejectedBy(): Ballot | undefined {
     return this.highestRejection;
   }
 
-  /** Tables of the members that stopped, in the order of their replies. */
+  /** Tables of the members that promised, in the order of their replies. */
   get tables(): readonly ReplicaMemory['table'][] {
     return [...this.promises.values()].map((promise) => promise.memory.table);
   }
 
-  /** Takes in a reply to `prepare` or `accept` of this ballot. */
+  /** Handles a reply to `prepare` or `accept` of this ballot. */
   onReply(reply: ReplicaReply): void {
     if (reply.type === 'rejected') this.onRejected(reply.promised);
     else if (reply.type === 'promised') this.onPromised(reply.vote, reply.memory);
--- a/src/core/claim/group-loss.test.ts
+++ b/src/core/claim/group-loss.test.ts
@@ -28,7 +28,7 @@
   [[SILENT], false],
 ];
 
-test('a group is lost when no majority can vote or agree any more', () => {
+test('a group is lost when no majority can vote or agree any longer', () => {
   for (const [members, expected] of CASES) {
     const ids = members.map((_, index) => `n${index}`);
     const record = {
--- a/src/core/claim/group-loss.ts
+++ b/src/core/claim/group-loss.ts
@@ -1,18 +1,21 @@
-/** Detects that a replica group has lost its memory for good, from what its members answer. */
+/** Detects from the replies of its members that a replica group has permanently lost its memory. */
 import { MAX_CLOCK_SKEW_MS } from './claim-limits.js';
 import { majorityOf, type PlacementRecord } from './placement.js';
 import type { ReplicaStatus } from './replica-messages.js';
 
-/** Time for which a loss must be seen without a break, in milliseconds; above the list's lag. */
+/**
+ * Time for which a loss must be seen without interruption, in milliseconds; longer than the lag of
+ * the list of machines.
+ */
 export const LOSS_CONFIRMATION_MS = 30_000;
 
-/** What is known of one member of the record. */
+/** What is known about one member of the record. */
 export type MemberObservation =
-  /** It answered. */
+  /** The member replied. */
   | { readonly type: 'answer'; readonly incarnation: number; readonly status: ReplicaStatus }
-  /** It does not answer, but may be paused or cut off. */
+  /** The member is unresponsive, but may be paused or partitioned. */
   | { readonly type: 'silent' }
-  /** Failed, and not on the list of machines: it does not come back. */
+  /** The member failed and is not on the list of machines: it does not return. */
   | { readonly type: 'gone' };
 
 /**
@@ -39,7 +42,8 @@
 }
 
 /**
- * Issue time below which the next group refuses keys: the lost one cannot have granted later ones.
+ * Issue time below which the next group refuses keys: the lost group cannot have granted keys
+ * issued later.
  *
  * @param lostSinceMs wall time at which the loss was first seen, Unix milliseconds
  */
--- a/src/core/claim/placement-policy.ts
+++ b/src/core/claim/placement-policy.ts
@@ -1,20 +1,20 @@
-/** Which nodes should hold a group's claims: one per zone, present members before new ones. */
+/** Chooses the nodes that hold a group's claims: one per zone, current members before new ones. */
 import type { Member } from '../member.js';
 import { selectReplicas } from '../placement.js';
 import { GROUP_SIZE } from './claim-limits.js';
 import { majorityOf, type PlacementRecord } from './placement.js';
 
-/** A node as placement sees it. */
+/** A node that may become or remain a member of a group. */
 export interface Candidate {
   readonly member: Member;
   /** Neither failed nor leaving. */
   readonly stays: boolean;
-  /** Answers: may take part in a change of epoch even when it leaves. */
+  /** Whether the node replies; it can then agree on the next epoch even while it leaves. */
   readonly responds: boolean;
 }
 
 /**
- * Chooses the members of the next epoch: present members that stay, then nodes of zones that
+ * Chooses the members of the next epoch: current members that stay, then nodes of zones that
  * have none, by rendezvous hashing of group and node.
  *
  * @param current the record in force, if any
@@ -49,13 +49,13 @@
   return differs && canAgree(current, candidates);
 }
 
-/** Whether a majority of the members answers, so that a change does not just stop votes. */
+/** Whether a majority of the members replies; without one, a change would only stop the votes. */
 export function canAgree(current: PlacementRecord, candidates: readonly Candidate[]): boolean {
   const responding = respondingMembers(current, candidates);
   return responding.length >= majorityOf(current.members.length);
 }
 
-/** Members of the record that answer, in its order. */
+/** Members of the record that reply, in its order. */
 export function respondingMembers(
   current: PlacementRecord,
   candidates: readonly Candidate[],
--- a/src/core/claim/placement.ts
+++ b/src/core/claim/placement.ts
@@ -1,9 +1,9 @@
 /** Placement of a replica group: which nodes, in which incarnation, hold the claims of an epoch. */
 
-/** One process: a node id with the incarnation of its memory. */
+/** One process: a node id and the incarnation to which its memory belongs. */
 export interface Incarnation {
   readonly nodeId: string;
-  /** Unique per start of the process and growing; a restarted process has lost its memory. */
+  /** Unique per start of the process and increasing; a restarted process has lost its memory. */
   readonly incarnation: number;
 }
 
@@ -15,11 +15,11 @@
   readonly epoch: number;
   readonly members: readonly Incarnation[];
   /**
-   * Whether no epoch came before it whose tables matter (first start, or start after the loss
+   * Whether there is no earlier epoch whose tables matter (first start, or start after the loss
    * of a group): its members begin with empty tables.
    */
   readonly fresh: boolean;
-  /** Keys issued before this (Unix ms) are refused; 0 unless the group was lost and started anew. */
+  /** Keys issued before this (Unix ms) are refused; 0 unless the group was lost and restarted. */
   readonly floorMs: number;
 }
 
@@ -30,7 +30,7 @@
   readonly known: readonly Incarnation[];
 }
 
-/** Smallest number of members that overlaps with any other such set. */
+/** Size of the smallest set of members that overlaps with any other set of that size. */
 export function majorityOf(size: number): number {
   return Math.floor(size / 2) + 1;
 }
@@ -55,7 +55,7 @@
 export type AgreementRule = (left: Vote, right: Vote) => boolean;
 
 /**
- * Whether some majority of the members has voted so that all votes of it agree pairwise.
+ * Whether the votes contain a majority of the members whose votes agree pairwise.
  *
  * @param votes at most one per member
  */
--- a/src/core/claim/replica-messages.ts
+++ b/src/core/claim/replica-messages.ts
@@ -16,14 +16,14 @@
   readonly successor: PlacementRecord;
 }
 
-/** Asks for a key. */
+/** Requests a key. */
 export interface ClaimMessage {
   readonly type: 'claim';
   readonly epoch: number;
   readonly subject: ClaimSubject;
 }
 
-/** Gives a key back; the attempt is never dispatched afterwards. */
+/** Releases a key; the attempt is never dispatched afterwards. */
 export interface ReleaseMessage {
   readonly type: 'release';
   /** The sender's newest epoch; only a replica that votes in it confirms. */
@@ -32,7 +32,7 @@
   readonly attemptId: string;
 }
 
-/** Tells that a dispatched attempt has ended; without an answer its outcome stays unknown. */
+/** Reports that a dispatched attempt has ended; without an answer its outcome stays unknown. */
 export interface FinishMessage {
   readonly type: 'finish';
   /** The sender's newest epoch; only a replica that votes in it confirms. */
@@ -41,15 +41,15 @@
   readonly answer?: HttpAnswer;
 }
 
-/** Asks for attempts of a request id. */
+/** Requests attempts of a request id. */
 export interface ChargeMessage {
   readonly type: 'charge';
   readonly epoch: number;
   readonly charge: BudgetCharge;
 }
 
-/** Gives slots back that the charge does not use. */
-export interface GiveBackMessage {
+/** Returns slots that the charge does not use. */
+export interface ReturnSlotsMessage {
   readonly type: 'give-back';
   /** The sender's newest epoch; only a replica that votes in it confirms. */
   readonly epoch: number;
@@ -58,7 +58,7 @@
   readonly unused: readonly number[];
 }
 
-/** A restarted replica reads the tables of another one. */
+/** Reads the tables of another replica; sent by a recovering or pending one. */
 export interface RecoverMessage {
   readonly type: 'recover';
   readonly epoch: number;
@@ -81,26 +81,26 @@
   readonly successor: PlacementRecord;
 }
 
-/** Starts a member of an agreed record with the tables of the epoch before. */
+/** Starts a member of an agreed record with the tables of the previous epoch. */
 export interface InstallMessage {
   readonly type: 'install';
   readonly record: PlacementRecord;
   readonly table: TableSnapshot;
 }
 
-/** Tells that a majority of a record's members has been started. */
+/** Announces that a majority of a record's members has been started. */
 export interface EstablishMessage {
   readonly type: 'establish';
   readonly record: PlacementRecord;
 }
 
-/** Asks for incarnation, status and the newest established record. */
+/** Queries incarnation, status and the newest established record. */
 export interface StatusMessage {
   readonly type: 'status';
 }
 
-/** Messages that every replica of a key should get. */
-export type DeliveredMessage = ReleaseMessage | FinishMessage | GiveBackMessage;
+/** Messages that every replica of a key should receive. */
+export type DeliveredMessage = ReleaseMessage | FinishMessage | ReturnSlotsMessage;
 
 /** Every request to a replica. */
 export type ReplicaRequest =
@@ -108,7 +108,7 @@
   | ReleaseMessage
   | FinishMessage
   | ChargeMessage
-  | GiveBackMessage
+  | ReturnSlotsMessage
   | RecoverMessage
   | PrepareMessage
   | AcceptMessage
@@ -117,12 +117,13 @@
   | StatusMessage;
 
 /**
- * What a replica does: `idle` (no member), `pending` (member, tables not yet installed),
- * `recovering` (restarted, reads the others' tables), `voting`, `sealed` (stopped for the next epoch).
+ * What a replica does: `idle` (not a member), `pending` (member, tables not yet installed),
+ * `recovering` (restarted, reads the others' tables), `voting`, `sealed` (stopped voting, for the
+ * next epoch).
  */
 export type ReplicaStatus = 'idle' | 'pending' | 'recovering' | 'voting' | 'sealed';
 
-/** Everything that a replica must not forget, as read by another one. */
+/** State that a replica must not lose, as read by another one. */
 export interface ReplicaMemory {
   readonly table: TableSnapshot;
   readonly promised?: Ballot;
@@ -131,7 +132,7 @@
 
 /** Every reply of a replica. */
 export type ReplicaReply =
-  /** The key belongs to the attempt, as far as this replica goes. */
+  /** This replica grants the key to the attempt. */
   | { readonly type: 'granted'; readonly vote: Vote }
   /** Another attempt holds the key, or tables conflict (`attemptId` empty). */
   | { readonly type: 'held'; readonly attemptId: string }
@@ -144,7 +145,7 @@
   /** The table is full. */
   | { readonly type: 'full' }
   | { readonly type: 'charged'; readonly vote: Vote; readonly slots: readonly number[] }
-  /** The replica cannot answer now; a newer record, when it has one. */
+  /** The replica does not vote now; carries its newest established record, if any. */
   | { readonly type: 'not-voting'; readonly record?: PlacementRecord }
   | { readonly type: 'recovered'; readonly vote: Vote; readonly memory: ReplicaMemory }
   | { readonly type: 'promised'; readonly vote: Vote; readonly memory: ReplicaMemory }
