--- a/src/core/membership/anti-entropy.ts
+++ b/src/core/membership/anti-entropy.ts
@@ -1,6 +1,6 @@
 /**
- * Comparison and exchange of full state. Members fall into a fixed number of buckets; two
- * nodes compare one hash a bucket, so that an exchange between equal views costs the same
+ * Compares and exchanges full state. Members are divided into a fixed number of buckets; two
+ * nodes compare one hash per bucket, so that an exchange between equal views costs the same
  * at any fleet size, and send only the members of buckets that differ.
  */
 import { hash32 } from '../hash.js';
@@ -9,10 +9,10 @@
 import type { MemberSyncReply, MemberSyncRequest } from './membership-message.js';
 import type { ProtocolState } from './protocol-state.js';
 
-/** Buckets of members. */
+/** Number of buckets of members. */
 export const SYNC_BUCKETS = 64;
 
-/** Most members and bytes in one page. */
+/** Maximum number of members and of bytes in one page. */
 const MAX_PAGE_MEMBERS = 100;
 const MAX_PAGE_BYTES = 256 * 1_024;
 
@@ -34,7 +34,7 @@
   return hashes;
 }
 
-/** Answers the comparing part of a request. */
+/** Compares the hashes of a request and replies with the first page of members that differ. */
 export function answerSync(state: ProtocolState, request: MemberSyncRequest): MemberSyncReply {
   if (request.hashes.length === 0) return { buckets: [], updates: [], next: '' };
   const own = hashBuckets(state);
@@ -65,8 +65,8 @@
   return updates.map(({ update }) => update);
 }
 
-/** Splits updates into requests that hand them over. */
-export function createHandOvers(updates: readonly MemberUpdate[]): MemberSyncRequest[] {
+/** Splits updates into requests that transfer them. */
+export function createTransferRequests(updates: readonly MemberUpdate[]): MemberSyncRequest[] {
   const requests: MemberSyncRequest[] = [];
   let after = '';
   do {
@@ -77,7 +77,7 @@
   return requests;
 }
 
-/** Facts of some members, for a node that got only a notice of them. */
+/** Facts of some members, for a node that received only a notice of them. */
 export function listFacts(state: ProtocolState, nodeIds: readonly string[]): FactsUpdate[] {
   const updates: FactsUpdate[] = [];
   for (const nodeId of nodeIds.slice(0, MAX_PAGE_MEMBERS)) {
--- a/src/core/membership/exchange-schedule.ts
+++ b/src/core/membership/exchange-schedule.ts
@@ -1,70 +1,73 @@
-/** When full state is exchanged: in turn, with members that join, and where views differ. */
+/** Schedules full state exchanges: periodically, with joining members, and when views differ. */
 import type { MembershipMessage } from './membership-message.js';
 import { sample } from './probe-order.js';
 import type { ProtocolState } from './protocol-state.js';
 
-/** Average pause until the first exchange has worked. */
+/** Average interval between exchanges until the first one has succeeded. */
 const JOIN_INTERVAL_MS = 1_000;
-/** Pause between exchanges that members coming up or back give rise to. */
-const RETURN_PAUSE_MS = 2_000;
-/** Time for which a view must stand before a different one calls for an exchange. */
+/** Minimum interval between exchanges that joining or returning members cause. */
+const MIN_JOIN_EXCHANGE_INTERVAL_MS = 2_000;
+/** Time for which a view must be unchanged before a different one causes an exchange. */
 const STABLE_VIEW_MS = 800;
-/** Pause between exchanges that different views give rise to. */
-const REPAIR_PAUSE_MS = 2_000;
+/** Minimum interval between exchanges that different views cause. */
+const MIN_REPAIR_INTERVAL_MS = 2_000;
 
-/** Decides on state exchanges. */
+/** Decides when to exchange state with which member. */
 export class ExchangeSchedule {
-  /** Whether an exchange has worked: this node knows the fleet. */
+  /** Whether an exchange has succeeded, so that this node knows the fleet. */
   hasJoined = false;
-  private at = Infinity;
-  private lastReturnAt = -Infinity;
+  private nextAt = Infinity;
+  private lastJoinExchangeAt = -Infinity;
   private lastRepairAt = -Infinity;
-  /** This node's view, and since when it has stood. */
-  private stableHash = 0;
-  private stableSince = 0;
+  /** Hash of this node's view, and the time since which it is unchanged. */
+  private lastHash = 0;
+  private unchangedSince = 0;
 
   constructor(private readonly state: ProtocolState) {}
 
   nextTimer(): number {
-    return this.at;
+    return this.nextAt;
   }
 
   /** Plans the next exchange. */
   plan(now: number): void {
     const interval = this.hasJoined ? this.state.options.syncIntervalMs : JOIN_INTERVAL_MS;
-    this.at = now + interval * (0.5 + this.state.random.next());
+    this.nextAt = now + interval * (0.5 + this.state.random.next());
   }
 
   onTimer(now: number): void {
-    if (now < this.at) return;
+    if (now < this.nextAt) return;
     this.plan(now);
     const [entry] = sample(this.state.table.listLive(), 1, this.state.random);
     if (entry !== undefined) this.exchange(entry.facts.nodeId);
   }
 
-  /** A member is new or has come back, perhaps with others that were cut off. */
+  /** Handles a member that is new or has returned, perhaps with others that were partitioned. */
   onJoined(now: number, nodeId: string): void {
-    if (this.hasJoined && now - this.lastReturnAt < RETURN_PAUSE_MS) return;
-    this.lastReturnAt = now;
+    if (this.hasJoined && now - this.lastJoinExchangeAt < MIN_JOIN_EXCHANGE_INTERVAL_MS) return;
+    this.lastJoinExchangeAt = now;
     this.exchange(nodeId);
   }
 
-  /** A view that stays different has missed something: no need to wait for the next turn. */
+  /**
+   * Starts an exchange with a node whose view stays different, because one of the two has missed
+   * an update; does not wait for the next planned exchange.
+   */
   compareViews(now: number, { from, stateHash }: MembershipMessage): void {
     if (stateHash === this.state.stateHash || !this.state.isReachable(from)) return;
-    if (this.state.stateHash !== this.stableHash) return;
-    if (now - this.stableSince < STABLE_VIEW_MS) return;
-    if (now - this.lastRepairAt < REPAIR_PAUSE_MS) return;
+    if (this.state.stateHash !== this.lastHash) return;
+    if (now - this.unchangedSince < STABLE_VIEW_MS) return;
+    if (now - this.lastRepairAt < MIN_REPAIR_INTERVAL_MS) return;
     this.lastRepairAt = now;
     this.exchange(from);
   }
 
-  /** Notes how long this node's view has stood; called at the end of each input. */
+  /** Tracks since when this node's view is unchanged; called at the end of each input. */
   observeView(now: number): void {
     const { stateHash } = this.state;
-    if (stateHash === this.stableHash) return;
-    this.stableHash = stateHash;
-    this.stableSince = now;
+    if (stateHash === this.lastHash) return;
+    this.lastHash = stateHash;
+    this.unchangedSince = now;
   }
 
   private exchange(nodeId: string): void {
--- a/src/core/membership/gossip-queue.ts
+++ b/src/core/membership/gossip-queue.ts
@@ -1,10 +1,10 @@
-/** Updates waiting to be spread, each sent a limited number of times. */
+/** Updates waiting to be gossiped, each sent a limited number of times. */
 import { measureUpdate, subjectOf, type MemberUpdate } from './member-update.js';
 
-/** Key of the newest rules version; no node id looks like it. */
-const NEWEST_VERSION = '#version';
+/** Key of the newest rules version; no node id has this form. */
+const NEWEST_VERSION_KEY = '#version';
 
-/** No update is smaller; ends the search for one that fits. */
+/** Lower bound of an update's size; below it, the search for one that fits ends. */
 const MIN_UPDATE_BYTES = 40;
 
 interface QueuedUpdate {
@@ -19,10 +19,10 @@
  */
 export class GossipQueue {
   private readonly entries = new Map<string, QueuedUpdate>();
-  /** Keys by times sent, so that nothing is sorted for a datagram. */
+  /** Keys by number of transmissions, so that no datagram requires sorting. */
   private readonly tiers: Set<string>[] = [];
 
-  /** Whether nothing waits. */
+  /** Whether no update waits. */
   get isEmpty(): boolean {
     return this.entries.size === 0;
   }
@@ -40,7 +40,7 @@
     this.tier(0).add(key);
   }
 
-  /** Drops what waits about a member. */
+  /** Removes the waiting claim about a member. */
   remove(nodeId: string): void {
     const entry = this.entries.get(nodeId);
     if (entry === undefined) return;
@@ -51,14 +51,18 @@
   /**
    * Takes the updates for one datagram.
    *
-   * @param room bytes
-   * @param limit sendings after which an update is dropped
-   * @param first updates that must lead, not counted as sendings
+   * @param maxBytes total size of the updates
+   * @param maxTransmits transmissions after which an update is dropped
+   * @param first updates to put first, not counted as transmissions
    */
-  select(room: number, limit: number, first: readonly MemberUpdate[] = []): MemberUpdate[] {
+  select(
+    maxBytes: number,
+    maxTransmits: number,
+    first: readonly MemberUpdate[] = [],
+  ): MemberUpdate[] {
     const leading = new Set(first.map(keyOf));
     const keys: string[] = [];
-    let left = room - first.reduce((sum, update) => sum + measureUpdate(update), 0);
+    let left = maxBytes - first.reduce((sum, update) => sum + measureUpdate(update), 0);
     for (const tier of this.tiers) {
       for (const key of tier) {
         if (left < MIN_UPDATE_BYTES) break;
@@ -68,14 +72,14 @@
         left -= bytes;
       }
     }
-    return [...first, ...keys.map((key) => this.countTransmit(key, limit))];
+    return [...first, ...keys.map((key) => this.countTransmit(key, maxTransmits))];
   }
 
-  private countTransmit(key: string, limit: number): MemberUpdate {
+  private countTransmit(key: string, maxTransmits: number): MemberUpdate {
     const entry = this.entries.get(key)!;
     this.tier(entry.transmits).delete(key);
     entry.transmits += 1;
-    if (entry.transmits >= limit) this.entries.delete(key);
+    if (entry.transmits >= maxTransmits) this.entries.delete(key);
     else this.tier(entry.transmits).add(key);
     return entry.update;
   }
@@ -87,5 +91,5 @@
 }
 
 function keyOf(update: MemberUpdate): string {
-  return update.type === 'version' ? NEWEST_VERSION : subjectOf(update);
+  return update.type === 'version' ? NEWEST_VERSION_KEY : subjectOf(update);
 }
--- a/src/core/membership/gossip-rounds.ts
+++ b/src/core/membership/gossip-rounds.ts
@@ -1,38 +1,38 @@
-/** When and to whom waiting updates are sent by themselves, within a byte budget. */
+/** Schedules datagrams that carry only waiting updates, within a byte budget. */
 import { sample } from './probe-order.js';
 import type { ProtocolState } from './protocol-state.js';
 
-/** Pause in which updates that arrive together are gathered into one datagram. */
-const GATHER_MS = 10;
+/** Delay that batches updates which arrive together into one datagram. */
+const BATCH_DELAY_MS = 10;
 
-/** Rounds of gossip to a few random members while something waits. */
+/** Sends rounds of gossip to a few random members while updates wait. */
 export class GossipRounds {
-  private at = Infinity;
+  private nextAt = Infinity;
   private lastAt = -Infinity;
-  /** Bytes that may be used now. */
+  /** Bytes that may be sent now. */
   private credit = 0;
 
   constructor(private readonly state: ProtocolState) {}
 
   nextTimer(): number {
-    return this.at;
+    return this.nextAt;
   }
 
-  /** Plans a round when something waits and none is planned. */
+  /** Plans a round when updates wait and none is planned. */
   plan(now: number): void {
     const { queue, table, options } = this.state;
-    if (this.at !== Infinity || queue.isEmpty || table.listLive().length === 0) return;
-    this.at = Math.max(now + GATHER_MS, this.lastAt + options.gossipIntervalMs);
+    if (this.nextAt !== Infinity || queue.isEmpty || table.listLive().length === 0) return;
+    this.nextAt = Math.max(now + BATCH_DELAY_MS, this.lastAt + options.gossipIntervalMs);
   }
 
   onTimer(now: number): void {
-    if (now < this.at) return;
+    if (now < this.nextAt) return;
     const { state } = this;
     const { gossipBytesPerSecond, gossipFanOut } = state.options;
     const earned = ((now - this.lastAt) / 1_000) * gossipBytesPerSecond;
     this.credit = Math.min(gossipBytesPerSecond, this.credit + earned);
     this.lastAt = now;
-    this.at = Infinity;
+    this.nextAt = Infinity;
     if (this.credit <= 0) return;
     for (const { facts } of sample(state.table.listLive(), gossipFanOut, state.random)) {
       if (state.queue.isEmpty) return;
--- a/src/core/membership/member-hash.ts
+++ b/src/core/membership/member-hash.ts
@@ -1,10 +1,10 @@
-/** Hashes by which two nodes find out whether they see the same members. */
+/** Hashes with which two nodes check whether they see the same members. */
 import { combineHashes, hash32 } from '../hash.js';
 import type { MemberFacts } from '../member.js';
 
 /**
  * Hash of one member that has not failed. Suspicions and rules versions are left out: they
- * change all the time and travel by gossip. The hash of several members is the XOR of
+ * change constantly and are sent by gossip. The hash of several members is the XOR of
  * theirs, so that their order does not matter.
  */
 export function hashMember(facts: MemberFacts, leaving: boolean): number {
--- a/src/core/membership/member-table.ts
+++ b/src/core/membership/member-table.ts
@@ -1,4 +1,4 @@
-/** The members that this node knows, other than itself, and what it remembers of forgotten ones. */
+/** The members that this node knows, other than itself, and the tombstones of evicted ones. */
 import type { Member, MemberFacts, MemberState } from '../member.js';
 import { hashMember } from './member-hash.js';
 import { comparePositions, type ClaimPosition } from './member-update.js';
@@ -9,15 +9,15 @@
 export interface MemberEntry {
   facts: MemberFacts;
   leaving: boolean;
-  /** Strongest claim that it does not answer; facts of a higher position refute it. */
+  /** Strongest claim that the member does not answer; facts of a higher position refute it. */
   claim: ClaimPosition | undefined;
   /** Running suspicion. */
   suspicion: Suspicion | undefined;
-  /** When it was found failed; undefined while it is not. */
+  /** When the member was found failed; undefined while it has not failed. */
   failedAt: number | undefined;
-  /** When this node last told it of the claim against it. */
-  confrontedAt: number;
-  /** {@link hashMember}, 0 when it has failed. */
+  /** When this node last sent the member the claim against it. */
+  claimSentAt: number;
+  /** {@link hashMember}, 0 when the member has failed. */
   hash: number;
   /** Cached view; undefined after a change. */
   view: Member | undefined;
@@ -27,7 +27,7 @@
   readonly at: number;
 }
 
-/** Members by node id, with the address index, tombstones and the cached list of the live. */
+/** Members by node id, with the address index, tombstones and the cached list of live ones. */
 export class MemberTable {
   private readonly entries = new Map<string, MemberEntry>();
   private readonly tombstones = new Map<string, Tombstone>();
@@ -76,7 +76,7 @@
       claim: undefined,
       suspicion: undefined,
       failedAt: undefined,
-      confrontedAt: -Infinity,
+      claimSentAt: -Infinity,
       hash: 0,
       view: undefined,
     };
@@ -93,7 +93,7 @@
     if (isNew || failedAt !== entry.failedAt) this.viewChanges += 1;
     this.tombstones.delete(facts.nodeId);
     this.entries.set(facts.nodeId, entry);
-    this.touch(entry);
+    this.reindex(entry);
     return entry;
   }
 
@@ -101,7 +101,7 @@
   suspect(entry: MemberEntry, claim: ClaimPosition, suspicion: Suspicion): void {
     entry.claim = claim;
     entry.suspicion = suspicion;
-    this.touch(entry);
+    this.reindex(entry);
   }
 
   /** Marks a member as failed. */
@@ -111,7 +111,7 @@
     entry.suspicion = undefined;
     entry.failedAt = now;
     this.viewChanges += 1;
-    this.touch(entry);
+    this.reindex(entry);
   }
 
   /** Raises a member's rules version. */
@@ -120,13 +120,13 @@
     entry.view = undefined;
   }
 
-  /** Position below which nothing about a forgotten member is taken in. */
+  /** Position up to which claims about an evicted member are ignored. */
   findTombstone(nodeId: string): ClaimPosition | undefined {
     return this.tombstones.get(nodeId);
   }
 
-  /** Remembers that a node that is not in the table has failed at a position. */
-  bury(nodeId: string, { incarnation, sequence }: ClaimPosition, now: number): void {
+  /** Records that a node that is not in the table has failed at a position. */
+  addTombstone(nodeId: string, { incarnation, sequence }: ClaimPosition, now: number): void {
     this.tombstones.delete(nodeId);
     this.tombstones.set(nodeId, { incarnation, sequence, at: now });
     if (this.tombstones.size > this.options.maxTombstones) {
@@ -135,23 +135,23 @@
     }
   }
 
-  /** Forgets members that failed long ago, and old tombstones; returns the forgotten. */
-  forgetOld(now: number): readonly string[] {
-    const forgotten: string[] = [];
+  /** Evicts members that failed long ago, and old tombstones; returns the evicted members. */
+  evictOld(now: number): readonly string[] {
+    const evicted: string[] = [];
     for (const [nodeId, { facts, leaving, failedAt, claim }] of this.entries) {
-      const keepMs = leaving ? this.options.forgetLeftMs : this.options.forgetFailedMs;
-      if (failedAt === undefined || now - failedAt < keepMs) continue;
+      const retentionMs = leaving ? this.options.evictLeftMs : this.options.evictFailedMs;
+      if (failedAt === undefined || now - failedAt < retentionMs) continue;
       this.entries.delete(nodeId);
-      this.bury(nodeId, claim ?? facts, now);
-      forgotten.push(nodeId);
+      this.addTombstone(nodeId, claim ?? facts, now);
+      evicted.push(nodeId);
     }
     for (const [nodeId, { at }] of this.tombstones) {
       if (now - at >= this.options.tombstoneMs) this.tombstones.delete(nodeId);
     }
-    return forgotten;
+    return evicted;
   }
 
-  private touch(entry: MemberEntry): void {
+  private reindex(entry: MemberEntry): void {
     entry.view = undefined;
     this.live = undefined;
     const hash = entry.failedAt === undefined ? hashMember(entry.facts, entry.leaving) : 0;
@@ -177,7 +177,7 @@
   return entry.suspicion === undefined ? 'alive' : 'suspect';
 }
 
-/** The member as the other parts of the node see it. */
+/** The member as other parts of the node see it. */
 export function viewOf(entry: MemberEntry): Member {
   entry.view ??= { ...entry.facts, state: stateOf(entry) };
   return entry.view;
--- a/src/core/membership/member-update.ts
+++ b/src/core/membership/member-update.ts
@@ -1,4 +1,4 @@
-/** Claims about members as they travel between nodes, and their order. */
+/** Claims about members as sent between nodes, and their order. */
 import type { MemberFacts } from '../member.js';
 
 /** Position of a claim: a higher incarnation wins, then a higher sequence. */
@@ -7,7 +7,7 @@
   readonly sequence: number;
 }
 
-/** The node says this about itself. */
+/** Facts that a node reports about itself. */
 export interface FactsUpdate {
   readonly type: 'facts';
   readonly facts: MemberFacts;
@@ -21,7 +21,7 @@
   readonly nodeId: string;
 }
 
-/** A node got no answer from another one. */
+/** A node received no answer from another one. */
 export interface SuspectUpdate extends ClaimPosition {
   readonly type: 'suspect';
   readonly nodeId: string;
--- a/src/core/membership/membership-faults.test.ts
+++ b/src/core/membership/membership-faults.test.ts
@@ -1,9 +1,9 @@
-/** Faults of nodes and network against the whole protocol, under virtual time. */
+/** Runs the whole protocol against faults of nodes and network, under virtual time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SimulatedFleet, type SimulatedNode } from '../../trials/simulated-fleet.js';
 
-const SECOND = 1_000;
+const SECOND_MS = 1_000;
 const LATER_START = 1_800_000_000_000;
 const EARLIER_START = 1_600_000_000_000;
 
@@ -12,7 +12,7 @@
 function createFleet(size: number, seed: number): SimulatedFleet {
   const fleet = new SimulatedFleet(seed);
   fleet.addNodes(size);
-  fleet.run(20 * SECOND);
+  fleet.run(20 * SECOND_MS);
   assert.ok(fleet.hasConverged(), 'the fleet has formed');
   assert.equal(fleet.countEvents('suspected'), 0);
   return fleet;
@@ -36,7 +36,7 @@
   assert.ok(tookMs <= limitMs, `${id} is failed everywhere within ${limitMs} ms`);
 }
 
-/** Whether every node sees its side of a cut as live and the other side as failed. */
+/** Whether every node sees its side of a partition as live and the other side as failed. */
 function isSplit(fleet: SimulatedFleet, isCutOff: (node: SimulatedNode) => boolean): boolean {
   return fleet.running().every((viewer) =>
     fleet.running().every((node) => {
@@ -49,105 +49,107 @@
 const CASES: Record<string, FaultCase> = {
   'a killed node is failed everywhere within 10 s': (fleet) => {
     fleet.kill('node-2');
-    assertFailsEverywhere(fleet, 'node-2', 10 * SECOND);
-    assertConverges(fleet, SECOND, 'the rest');
+    assertFailsEverywhere(fleet, 'node-2', 10 * SECOND_MS);
+    assertConverges(fleet, SECOND_MS, 'the rest');
   },
   'a short pause is suspected at most, and refuted': (fleet) => {
     fleet.pause('node-2');
-    fleet.run(2.5 * SECOND);
+    fleet.run(2.5 * SECOND_MS);
     fleet.resume('node-2');
-    assertConverges(fleet, 2 * SECOND, 'after the pause');
+    assertConverges(fleet, 2 * SECOND_MS, 'after the pause');
     assert.equal(fleet.countEvents('failed'), 0);
   },
-  'a node paused past its failure comes back by itself': (fleet, size) => {
+  'a node that was paused until it failed rejoins on its own': (fleet, size) => {
     fleet.pause('node-2');
-    assertFailsEverywhere(fleet, 'node-2', 10 * SECOND);
-    fleet.run(60 * SECOND);
+    assertFailsEverywhere(fleet, 'node-2', 10 * SECOND_MS);
+    fleet.run(60 * SECOND_MS);
     fleet.resume('node-2');
-    assertConverges(fleet, 5 * SECOND, 'after the pause');
-    fleet.run(30 * SECOND);
+    assertConverges(fleet, 5 * SECOND_MS, 'after the pause');
+    fleet.run(30 * SECOND_MS);
     assert.ok(fleet.hasConverged());
-    // The paused node itself suspects nobody for what it has missed.
+    // The paused node itself suspects no member because of the messages that it missed.
     assert.equal(fleet.countEvents('failed'), size - 1);
   },
-  'a paused node fails nobody whose refutation waits for it': (fleet) => {
+  'a resumed node fails no member whose refutation it has not read yet': (fleet) => {
     const suspecting = fleet.node('node-2');
     fleet.pause('node-3');
     const isSuspected = (): boolean => suspecting.protocol.find('node-3')?.state === 'suspect';
-    assert.ok(fleet.runUntil(isSuspected, 10 * SECOND) <= 10 * SECOND);
+    assert.ok(fleet.runUntil(isSuspected, 10 * SECOND_MS) <= 10 * SECOND_MS);
     fleet.pause('node-2');
     fleet.resume('node-3');
-    fleet.run(30 * SECOND);
+    fleet.run(30 * SECOND_MS);
     fleet.resume('node-2');
-    assertConverges(fleet, 5 * SECOND, 'after both pauses');
+    assertConverges(fleet, 5 * SECOND_MS, 'after both pauses');
     assert.equal(suspecting.events.includes('failed node-3'), false);
   },
   'loss in one direction between two nodes raises no suspicion': (fleet) => {
     fleet.isCut = (from, to) => from.id === 'node-2' && to.id === 'node-1';
-    fleet.run(60 * SECOND);
+    fleet.run(60 * SECOND_MS);
     assert.ok(fleet.hasConverged());
     assert.equal(fleet.countEvents('suspected'), 0);
   },
-  'a node that is not heard is failed, and comes back': (fleet) => {
+  'a node whose messages are lost is failed, and returns': (fleet) => {
     fleet.isCut = (from) => from.id === 'node-2';
-    assertFailsEverywhere(fleet, 'node-2', 30 * SECOND);
+    assertFailsEverywhere(fleet, 'node-2', 30 * SECOND_MS);
     fleet.isCut = () => false;
-    assertConverges(fleet, 30 * SECOND, 'after the loss');
+    assertConverges(fleet, 30 * SECOND_MS, 'after the loss');
   },
-  'a node that hears nothing is failed, and comes back': (fleet) => {
+  'a node that receives nothing is failed, and returns': (fleet) => {
     fleet.isCut = (_from, to) => to.id === 'node-2';
-    assertFailsEverywhere(fleet, 'node-2', 30 * SECOND);
+    assertFailsEverywhere(fleet, 'node-2', 30 * SECOND_MS);
     fleet.isCut = () => false;
-    assertConverges(fleet, 30 * SECOND, 'after the loss');
+    assertConverges(fleet, 30 * SECOND_MS, 'after the loss');
   },
-  'a zone that is cut off goes on by itself and rejoins': (fleet) => {
+  'a partitioned zone continues on its own and rejoins': (fleet) => {
     const isCutOff = ({ zone }: SimulatedNode): boolean => zone === 'zone-2';
     fleet.isCut = (from, to) => isCutOff(from) !== isCutOff(to);
-    const splitMs = fleet.runUntil(() => isSplit(fleet, isCutOff), 60 * SECOND);
-    assert.ok(splitMs <= 60 * SECOND, 'each side has given up the other');
-    fleet.run(10 * 60 * SECOND);
+    const splitMs = fleet.runUntil(() => isSplit(fleet, isCutOff), 60 * SECOND_MS);
+    assert.ok(splitMs <= 60 * SECOND_MS, 'each side considers the other failed');
+    fleet.run(10 * 60 * SECOND_MS);
     assert.ok(isSplit(fleet, isCutOff), 'each side stays whole');
     const failed = fleet.countEvents('failed');
     fleet.isCut = () => false;
-    assertConverges(fleet, 30 * SECOND, 'after the cut');
-    fleet.run(30 * SECOND);
+    assertConverges(fleet, 30 * SECOND_MS, 'after the partition');
+    fleet.run(30 * SECOND_MS);
     assert.ok(fleet.hasConverged(), 'and stays so');
-    assert.equal(fleet.countEvents('failed'), failed, 'rejoining fails nobody');
+    assert.equal(fleet.countEvents('failed'), failed, 'rejoining fails no member');
   },
   '30% loss leaves no lasting false failure': (fleet) => {
     fleet.lossRate = 0.3;
     for (let round = 0; round < 4; round += 1) {
-      fleet.run(30 * SECOND);
+      fleet.run(30 * SECOND_MS);
       const tookMs = fleet.runUntil(
         () =>
           fleet.running().every(({ protocol }) => protocol.members().length === fleet.nodes.size),
-        40 * SECOND,
+        40 * SECOND_MS,
       );
-      assert.ok(tookMs <= 40 * SECOND, `round ${round}: no node stays failed`);
+      assert.ok(tookMs <= 40 * SECOND_MS, `round ${round}: no node stays failed`);
     }
     fleet.lossRate = 0;
-    assertConverges(fleet, 40 * SECOND, 'after the loss');
+    assertConverges(fleet, 40 * SECOND_MS, 'after the loss');
   },
   'a restarted process replaces its earlier incarnation': (fleet) => {
     fleet.kill('node-2');
     fleet.addNode({ id: 'node-2', address: '10.0.0.2:7000', incarnation: LATER_START });
     const isKnown = (): boolean =>
       fleet.running().every(({ protocol }) => protocol.find('node-2')?.incarnation === LATER_START);
-    assert.ok(fleet.runUntil(isKnown, 3 * SECOND) <= 3 * SECOND);
-    assertConverges(fleet, SECOND, 'after the restart');
+    assert.ok(fleet.runUntil(isKnown, 3 * SECOND_MS) <= 3 * SECOND_MS);
+    assertConverges(fleet, SECOND_MS, 'after the restart');
     assert.equal(fleet.countEvents('failed'), 0);
   },
   'a quick restart raises no suspicion of the new incarnation': (fleet) => {
     for (let round = 1; round <= 10; round += 1) {
       const { address, zone } = fleet.node('node-2');
       fleet.kill('node-2');
-      fleet.run(0.8 * SECOND);
+      fleet.run(0.8 * SECOND_MS);
       fleet.addNode({ id: 'node-2', address, zone, incarnation: LATER_START + round });
-      fleet.run(5 * SECOND);
+      fleet.run(5 * SECOND_MS);
     }
     assert.equal(fleet.countEvents('suspected'), 0);
   },
-  'a restarted process whose clock is behind goes above its earlier incarnation': (fleet) => {
+  'a restarted process whose clock is behind takes a higher incarnation than its earlier one': (
+    fleet,
+  ) => {
     const earlier = fleet.node('node-2').protocol.self().incarnation;
     fleet.kill('node-2');
     fleet.addNode({ id: 'node-2', address: '10.0.0.2:7000', incarnation: EARLIER_START });
@@ -156,13 +158,13 @@
         const { incarnation } = protocol.find('node-2')!;
         return incarnation > earlier;
       });
-    assert.ok(fleet.runUntil(isKnown, 10 * SECOND) <= 10 * SECOND);
-    assertConverges(fleet, SECOND, 'after the restart');
+    assert.ok(fleet.runUntil(isKnown, 10 * SECOND_MS) <= 10 * SECOND_MS);
+    assertConverges(fleet, SECOND_MS, 'after the restart');
   },
   'a machine under a new name takes over its address at once': (fleet) => {
     fleet.kill('node-2');
     fleet.addNode({ id: 'new-2', address: '10.0.0.2:7000', incarnation: LATER_START });
-    assertConverges(fleet, 3 * SECOND, 'after the replacement');
+    assertConverges(fleet, 3 * SECOND_MS, 'after the replacement');
     assert.ok(
       isFailedEverywhere(fleet, 'node-2') ||
         fleet.node('new-2').protocol.find('node-2') === undefined,
@@ -173,7 +175,7 @@
   ) => {
     fleet.kill('node-2');
     fleet.addNode({ id: 'new-2', address: '10.0.0.2:7000', incarnation: EARLIER_START });
-    assertConverges(fleet, 30 * SECOND, 'after the replacement');
+    assertConverges(fleet, 30 * SECOND_MS, 'after the replacement');
   },
   'a planned stop is known everywhere within 3 s and is no failure': (fleet) => {
     const leaver = fleet.node('node-2');
@@ -183,10 +185,10 @@
         const member = protocol.find('node-2');
         return member?.state === 'leaving' && !member.ready;
       });
-    assert.ok(fleet.runUntil(isKnown, 3 * SECOND) <= 3 * SECOND);
-    assert.ok(fleet.runUntil(() => leaver.protocol.isLeaveSpread, 3 * SECOND) <= 3 * SECOND);
+    assert.ok(fleet.runUntil(isKnown, 3 * SECOND_MS) <= 3 * SECOND_MS);
+    assert.ok(fleet.runUntil(() => leaver.protocol.isLeaveSpread, 3 * SECOND_MS) <= 3 * SECOND_MS);
     fleet.kill('node-2');
-    assertConverges(fleet, 10 * SECOND, 'after the stop');
+    assertConverges(fleet, 10 * SECOND_MS, 'after the stop');
     assert.equal(fleet.countEvents('failed'), 0);
   },
   'leaving targets and rules versions are known everywhere within 3 s': (fleet) => {
@@ -198,7 +200,7 @@
         const member = protocol.find('node-2');
         return member?.configVersion === 5 && member.leavingTargets[0] === 'target-1';
       });
-    assert.ok(fleet.runUntil(isKnown, 3 * SECOND) <= 3 * SECOND);
+    assert.ok(fleet.runUntil(isKnown, 3 * SECOND_MS) <= 3 * SECOND_MS);
   },
   'the rules version in force at each node is known everywhere within 8 s': (fleet) => {
     for (const node of fleet.running()) {
@@ -210,13 +212,13 @@
         .every(({ protocol }) =>
           protocol.members().every(({ configVersion }) => configVersion === 6),
         );
-    assert.ok(fleet.runUntil(isKnown, 8 * SECOND) <= 8 * SECOND);
+    assert.ok(fleet.runUntil(isKnown, 8 * SECOND_MS) <= 8 * SECOND_MS);
   },
-  'stale gossip does not raise a forgotten member': (fleet) => {
+  'stale gossip does not bring back an evicted member': (fleet) => {
     const stale = fleet.node('node-2').protocol.self();
     const viewer = fleet.node('node-1');
     fleet.kill('node-2');
-    fleet.run(3 * 3_600 * SECOND);
+    fleet.run(3 * 3_600 * SECOND_MS);
     assert.equal(viewer.protocol.find('node-2'), undefined);
     fleet.act(viewer, (now) =>
       viewer.protocol.onMessage(now, '10.0.0.3:7000', {
@@ -239,7 +241,7 @@
       .map(({ id }) => id)
       .slice(2, 2 + Math.floor(size / 3));
     fleet.kill(...rack);
-    assertConverges(fleet, 30 * SECOND, 'after the loss');
+    assertConverges(fleet, 30 * SECOND_MS, 'after the loss');
     assert.equal(fleet.countEvents('failed'), rack.length * (size - rack.length));
   },
   'the same rack lost, replaced and lost again': (fleet, size) => {
@@ -249,12 +251,12 @@
       .slice(2, 2 + Math.floor(size / 4));
     for (const round of [1, 2]) {
       fleet.kill(...rack);
-      assertConverges(fleet, 30 * SECOND, `loss ${round}`);
+      assertConverges(fleet, 30 * SECOND_MS, `loss ${round}`);
       for (const id of rack) {
         const { address, zone } = fleet.node(id);
         fleet.addNode({ id, address, zone, incarnation: LATER_START + round });
       }
-      assertConverges(fleet, 30 * SECOND, `return ${round}`);
+      assertConverges(fleet, 30 * SECOND_MS, `return ${round}`);
     }
   },
 };
--- a/src/core/membership/membership-message.ts
+++ b/src/core/membership/membership-message.ts
@@ -6,16 +6,16 @@
   /** The sending node. */
   readonly from: string;
   readonly incarnation: number;
-  /** The sender's rules version: known at once to whoever hears from it. */
+  /** The sender's rules version, so that every receiver learns it at once. */
   readonly configVersion: number;
-  /** Hash of the sender's view; one that stays different calls for a state exchange. */
+  /** Hash of the sender's view; one that stays different causes a state exchange. */
   readonly stateHash: number;
-  /** Who has the newest rules version; absent in a very large fleet. */
+  /** Which members have the newest rules version; absent in a very large fleet. */
   readonly versions?: VersionDigest;
   readonly updates: readonly MemberUpdate[];
 }
 
-/** Asks for an `ack`. */
+/** Requests an `ack`. */
 export interface PingMessage extends MessageBase {
   readonly type: 'ping';
   readonly probe: number;
@@ -23,17 +23,17 @@
   readonly to: string;
 }
 
-/** Answers a `ping`, or passes on the answer of another node. */
+/** Answers a `ping`, or forwards the answer of another node. */
 export interface AckMessage extends MessageBase {
   readonly type: 'ack';
   readonly probe: number;
   /** The node that is alive. */
   readonly subject: string;
-  /** The answering node lacks the facts of the one that asked. */
+  /** The answering node lacks the facts of the node that sent the ping. */
   readonly factsWanted: boolean;
 }
 
-/** Asks a third node to ping a node that did not answer. */
+/** Requests that a third node ping a node that did not answer. */
 export interface PingRequestMessage extends MessageBase {
   readonly type: 'ping-request';
   readonly probe: number;
@@ -41,7 +41,7 @@
   readonly address: string;
 }
 
-/** The third node got no answer either; tells that the way to the third node works. */
+/** The third node got no answer either; shows that the path to the third node works. */
 export interface NackMessage extends MessageBase {
   readonly type: 'nack';
   readonly probe: number;
@@ -56,13 +56,13 @@
 export type MembershipMessage =
   PingMessage | AckMessage | PingRequestMessage | NackMessage | GossipMessage;
 
-/** What the protocol wants done. */
+/** Action that the protocol requires. */
 export type MembershipAction =
   /** Send a datagram. */
   | { readonly type: 'send'; readonly to: string; readonly message: MembershipMessage }
   /** Compare and exchange full state with a node. */
   | { readonly type: 'sync'; readonly nodeId: string }
-  /** Get the facts of some nodes from a node that has them. */
+  /** Fetch the facts of some nodes from a node that has them. */
   | { readonly type: 'fetch'; readonly source: string; readonly nodeIds: readonly string[] }
   /** Where a node listens; undefined when it has failed. */
   | { readonly type: 'address'; readonly nodeId: string; readonly address: string | undefined }
@@ -70,14 +70,14 @@
   /** The view has changed; once per input. */
   | { readonly type: 'changed' };
 
-/** Changes worth a log line. */
+/** Membership changes that are logged. */
 export type MembershipEvent = 'joined' | 'suspected' | 'failed' | 'leaving' | 'refuted';
 
 /** Request of a state exchange. */
 export interface MemberSyncRequest {
-  /** Hash of each bucket of members; empty when only `updates` are handed over. */
+  /** Hash of each bucket of members; empty when only `updates` are transferred. */
   readonly hashes: readonly number[];
-  /** Continue after this node id; empty at first. */
+  /** Continue after this node id; empty in the first request. */
   readonly after: string;
   readonly updates: readonly MemberUpdate[];
 }
--- a/src/core/membership/membership-options.ts
+++ b/src/core/membership/membership-options.ts
@@ -2,11 +2,11 @@
 
 /** Options; see {@link DEFAULT_MEMBERSHIP_OPTIONS}. Times in milliseconds. */
 export interface MembershipOptions {
-  /** Pause between probes of one member each. */
+  /** Interval between probes, each of one member. */
   readonly probeIntervalMs: number;
-  /** Wait for the direct answer before others are asked to ping. */
+  /** Wait for the direct answer before other members are requested to ping. */
   readonly probeTimeoutMs: number;
-  /** Members asked to ping on this node's behalf. */
+  /** Members requested to ping on this node's behalf. */
   readonly indirectProbes: number;
   /** Shortest suspicion: this times log10 of the fleet's size (1 at least) probe intervals. */
   readonly suspicionMultiplier: number;
@@ -16,28 +16,28 @@
   readonly suspicionConfirmations: number;
   /** Highest local health score; probe times grow by 1 plus the score (Lifeguard). */
   readonly maxLocalHealth: number;
-  /** Pause between gossip rounds while there is something to spread. */
+  /** Interval between gossip rounds while updates wait. */
   readonly gossipIntervalMs: number;
   /** Members that one gossip round goes to. */
   readonly gossipFanOut: number;
-  /** Bytes a second that gossip rounds may use in the long run, and at once after a rest. */
+  /** Bytes per second that gossip rounds may send on average, and in one burst after idle time. */
   readonly gossipBytesPerSecond: number;
   /** An update is sent this times log10 of the fleet's size + 1 times, rounded up. */
   readonly retransmitMultiplier: number;
-  /** Pause between state exchanges, on average. */
+  /** Average interval between state exchanges. */
   readonly syncIntervalMs: number;
-  /** Pause between pings of addresses that may have come back (seeds, failed members). */
+  /** Interval between pings of addresses that may answer again (seeds, failed members). */
   readonly rejoinIntervalMs: number;
-  /** Time for which a failed member is tried again and kept in the table. */
-  readonly forgetFailedMs: number;
-  /** The same for a member that had announced its stop. */
-  readonly forgetLeftMs: number;
-  /** Time for which a forgotten member's last position is kept. */
+  /** Time for which a failed member is pinged again and kept in the table. */
+  readonly evictFailedMs: number;
+  /** Time for which a failed member that had announced its stop is kept in the table. */
+  readonly evictLeftMs: number;
+  /** Time for which an evicted member's last position is kept. */
   readonly tombstoneMs: number;
   readonly maxTombstones: number;
-  /** Room for updates in one datagram, in bytes. */
+  /** Maximum size of the updates in one datagram, in bytes. */
   readonly maxUpdateBytes: number;
-  /** A timer that is later than this tells that the process was paused. */
+  /** A timer that fires later than this means that the process was paused. */
   readonly pauseThresholdMs: number;
 }
 
@@ -56,8 +56,8 @@
   retransmitMultiplier: 4,
   syncIntervalMs: 30_000,
   rejoinIntervalMs: 10_000,
-  forgetFailedMs: 2 * 3_600_000,
-  forgetLeftMs: 60_000,
+  evictFailedMs: 2 * 3_600_000,
+  evictLeftMs: 60_000,
   tombstoneMs: 24 * 3_600_000,
   maxTombstones: 8_192,
   maxUpdateBytes: 1_050,
--- a/src/core/membership/membership-protocol.ts
+++ b/src/core/membership/membership-protocol.ts
@@ -1,12 +1,12 @@
 /**
- * SWIM membership with suspicion, refutation and Lifeguard's local health: events and `now`
- * in, actions out. See docs/design/membership.md.
+ * SWIM membership with suspicion, refutation and Lifeguard's local health. Inputs are events and
+ * `now`, outputs are actions. See docs/design/membership.md.
  */
 import type { Member, MemberFacts, MutableFacts } from '../member.js';
 import type { Random } from '../random.js';
 import {
   answerSync,
-  createHandOvers,
+  createTransferRequests,
   hashBuckets,
   listFacts,
   listUpdates,
@@ -29,7 +29,7 @@
 import { ProtocolState } from './protocol-state.js';
 import { UpdateMerger, type UpdateSource } from './update-merger.js';
 
-const FORGET_INTERVAL_MS = 10_000;
+const EVICTION_INTERVAL_MS = 10_000;
 type Actions = readonly MembershipAction[];
 
 /** The membership protocol of one node. */
@@ -40,7 +40,7 @@
   private readonly rounds: GossipRounds;
   private readonly exchanges: ExchangeSchedule;
   private readonly rejoin: Rejoin;
-  private forgetAt = Infinity;
+  private evictAt = Infinity;
 
   /**
    * @param self this node's facts at start
@@ -75,7 +75,7 @@
     return members.sort((a, b) => (a.nodeId < b.nodeId ? -1 : 1));
   }
 
-  /** One member, also when it has failed and is not forgotten. */
+  /** One member, including one that has failed but is not evicted yet. */
   find(nodeId: string): Member | undefined {
     if (nodeId === this.state.self.nodeId) return this.self();
     const entry = this.state.table.find(nodeId);
@@ -92,11 +92,11 @@
     this.prober.start(now);
     this.exchanges.plan(now);
     this.rejoin.start(now);
-    this.forgetAt = now + FORGET_INTERVAL_MS;
+    this.evictAt = now + EVICTION_INTERVAL_MS;
     return this.finish(now);
   }
 
-  /** Adds addresses to join by. */
+  /** Adds addresses through which to join. */
   addSeeds(now: number, addresses: readonly string[]): Actions {
     this.rejoin.addSeeds(now, addresses);
     return this.finish(now);
@@ -128,14 +128,14 @@
   nextTimer(): number {
     const { prober, rounds, exchanges, rejoin } = this;
     const parts = [prober, rounds, exchanges, rejoin].map((part) => part.nextTimer());
-    let next = Math.min(this.forgetAt, ...parts);
+    let next = Math.min(this.evictAt, ...parts);
     for (const { suspicion } of this.state.table.listSuspects()) {
       if (suspicion !== undefined) next = Math.min(next, suspicion.deadline);
     }
     return next;
   }
 
-  /** Called when {@link nextTimer} has come. */
+  /** Called when the time of {@link nextTimer} is reached. */
   onTimer(now: number): Actions {
     const lateMs = now - this.nextTimer();
     if (lateMs > this.options.pauseThresholdMs) this.recoverFromPause(now, lateMs);
@@ -144,11 +144,11 @@
     this.rounds.onTimer(now);
     this.exchanges.onTimer(now);
     this.rejoin.onTimer(now);
-    if (now >= this.forgetAt) this.forget(now);
+    if (now >= this.evictAt) this.evictOld(now);
     return this.finish(now);
   }
 
-  /** A datagram has come in from an address. */
+  /** Handles a datagram received from an address. */
   onMessage(now: number, address: string, message: MembershipMessage): Actions {
     const { from: nodeId, incarnation, configVersion } = message;
     if (nodeId === this.state.self.nodeId) return [];
@@ -171,7 +171,7 @@
       case 'gossip':
         break;
     }
-    if (message.type !== 'ping') this.confront(now, address, message);
+    if (message.type !== 'ping') this.sendClaim(now, address, message);
     this.exchanges.compareViews(now, message);
     return this.finish(now);
   }
@@ -181,7 +181,7 @@
     return { hashes: hashBuckets(this.state), after: '', updates: [] };
   }
 
-  /** A peer wants a state exchange. */
+  /** Handles a peer's request for a state exchange. */
   onSyncRequest(
     now: number,
     nodeId: string,
@@ -192,19 +192,19 @@
     return { reply, actions: this.applyUpdates(now, source, request.updates) };
   }
 
-  /** This node's side of the buckets that differ, as requests that hand it over. */
+  /** Requests that transfer this node's claims about the members of buckets that differ. */
   createHandOvers(buckets: readonly number[]): readonly MemberSyncRequest[] {
-    return createHandOvers(listUpdates(this.state, buckets));
+    return createTransferRequests(listUpdates(this.state, buckets));
   }
 
-  /** The peer's page of a state exchange, or facts that were fetched. */
+  /** Handles the peer's page of a state exchange, or facts that were fetched. */
   onSyncReply(now: number, nodeId: string, updates: readonly MemberUpdate[]): Actions {
     const isJoin = !this.exchanges.hasJoined;
     this.exchanges.hasJoined = true;
     return this.applyUpdates(now, { nodeId, isSync: true, isJoin }, updates);
   }
 
-  /** Facts of some members, for a peer that asks. */
+  /** Facts of some members, for a peer that requests them. */
   listFacts(nodeIds: readonly string[]): readonly FactsUpdate[] {
     return listFacts(this.state, nodeIds);
   }
@@ -222,7 +222,7 @@
     const { state } = this;
     const { nodeId } = state.self;
     if (message.to !== '' && message.to !== nodeId) {
-      // The address has changed hands: tell who is here now.
+      // The address belonged to another node: send this node's facts.
       state.send(address, { type: 'gossip' }, [state.describeSelf()]);
       return;
     }
@@ -242,14 +242,14 @@
     }
   }
 
-  /** Tells a member that is heard from what is held against it, so that it can refute. */
-  private confront(now: number, address: string, message: MembershipMessage): void {
+  /** Replies to a member's message with the claim against the member, so that it can refute it. */
+  private sendClaim(now: number, address: string, message: MembershipMessage): void {
     const { state } = this;
     const entry = state.table.find(message.from);
     const claim = state.describeClaim(message.from, message.incarnation);
     if (entry === undefined || claim === undefined) return;
-    if (now - entry.confrontedAt < this.options.probeIntervalMs) return;
-    entry.confrontedAt = now;
+    if (now - entry.claimSentAt < this.options.probeIntervalMs) return;
+    entry.claimSentAt = now;
     state.send(address, { type: 'gossip' }, [claim]);
   }
 
@@ -258,16 +258,16 @@
     this.exchanges.onJoined(now, facts.nodeId);
   }
 
-  /** Spreads new facts of this node. */
+  /** Gossips new facts of this node. */
   private announce(facts: MutableFacts): void {
     const { state } = this;
     state.setSelf({ ...state.self, ...facts, sequence: state.self.sequence + 1 });
     state.queue.push(state.describeSelf());
   }
 
-  private forget(now: number): void {
-    this.forgetAt = now + FORGET_INTERVAL_MS;
-    for (const nodeId of this.state.table.forgetOld(now)) this.state.queue.remove(nodeId);
+  private evictOld(now: number): void {
+    this.evictAt = now + EVICTION_INTERVAL_MS;
+    for (const nodeId of this.state.table.evictOld(now)) this.state.queue.remove(nodeId);
   }
 
   private recoverFromPause(now: number, lateMs: number): void {
--- a/src/core/membership/probe-order.ts
+++ b/src/core/membership/probe-order.ts
@@ -1,4 +1,4 @@
-/** The order in which members are probed: each once in a round, shuffled anew for each round. */
+/** The order in which members are probed: each once per round, shuffled again for each round. */
 import type { Random } from '../random.js';
 
 /** Round-robin probing with a random order (SWIM, section 4.3). */
@@ -8,7 +8,7 @@
 
   constructor(private readonly random: Random) {}
 
-  /** Adds a member at a random place of what remains of the round. */
+  /** Adds a member at a random place in the remainder of the round. */
   add(nodeId: string): void {
     const remaining = this.order.length - this.position;
     const place = this.position + this.random.nextInt(remaining + 1);
--- a/src/core/membership/prober.ts
+++ b/src/core/membership/prober.ts
@@ -1,16 +1,16 @@
-/** Probing of one member at a time, directly and through others, and probes for others. */
+/** Probes one member at a time, directly and through others, and relays probes of others. */
 import type { MemberEntry } from './member-table.js';
 import type { AckMessage, NackMessage, PingRequestMessage } from './membership-message.js';
 import { ProbeOrder, sample } from './probe-order.js';
 import type { ProtocolState } from './protocol-state.js';
 
-/** Probes for others that are remembered at once. */
+/** Maximum number of probes relayed for others at once. */
 const MAX_RELAYS = 256;
 
 interface Probe {
   readonly number: number;
   readonly nodeId: string;
-  /** A process that has restarted since owes no answer. */
+  /** The probed incarnation; a process that has restarted since is not expected to answer. */
   readonly incarnation: number;
   readonly indirectAt: number;
   indirectSent: number;
@@ -44,12 +44,12 @@
     this.nextProbeAt = now + this.state.random.next() * this.state.options.probeIntervalMs;
   }
 
-  /** A member is new or has come back. */
+  /** Adds a member that is new or has returned. */
   add(nodeId: string): void {
     this.order.add(nodeId);
   }
 
-  /** Next time at which {@link onTimer} is needed. */
+  /** Time of the next needed {@link onTimer}. */
   nextTimer(): number {
     let next = this.nextProbeAt;
     if (this.current?.indirectSent === 0) next = Math.min(next, this.current.indirectAt);
@@ -63,11 +63,11 @@
       this.finishProbe(now);
       this.startProbe(now);
     } else if (this.current?.indirectSent === 0 && now >= this.current.indirectAt) {
-      this.askOthers(this.current);
+      this.requestIndirectProbes(this.current);
     }
   }
 
-  /** Drops the probe in flight: its answer cannot have been seen while the process stood still. */
+  /** Drops the probe in flight: its answer could not be received while the process was paused. */
   skipProbe(now: number): void {
     this.current = undefined;
     this.relays.clear();
@@ -97,7 +97,7 @@
     if (this.current?.number === probe) this.current.nacks += 1;
   }
 
-  /** Pings a node for another one. */
+  /** Pings a node on behalf of another one. */
   onPingRequest(now: number, origin: string, message: PingRequestMessage): void {
     if (this.relays.size >= MAX_RELAYS) return;
     const number = this.nextNumber();
@@ -122,13 +122,14 @@
     const indirectAt = now + probeTimeoutMs * scale;
     const { incarnation } = entry.facts;
     this.current = { number, nodeId, incarnation, indirectAt, indirectSent: 0, nacks: 0 };
-    // A suspected member learns of it first, so that it can refute (Lifeguard's buddy system).
+    // Puts the claim against a suspected member first, so that it can refute it (Lifeguard's buddy
+    // system).
     const claim = state.describeClaim(nodeId, incarnation);
     const first = claim === undefined ? [] : [claim];
     state.send(entry.facts.peerAddress, { type: 'ping', probe: number, to: nodeId }, first);
   }
 
-  private askOthers(probe: Probe): void {
+  private requestIndirectProbes(probe: Probe): void {
     const { state } = this;
     const subject = state.table.find(probe.nodeId);
     if (subject === undefined) return;
@@ -150,7 +151,7 @@
     if (probe === undefined || !this.state.isReachable(probe.nodeId)) return;
     const entry = this.state.table.find(probe.nodeId);
     if (entry?.facts.incarnation !== probe.incarnation) return;
-    // When no helper answered either, the fault may well be on this side.
+    // When no helper replied either, the fault may well be on this node's side.
     if (probe.indirectSent > 0 && probe.nacks === 0) {
       const { maxLocalHealth } = this.state.options;
       this.state.localHealth = Math.min(maxLocalHealth, this.state.localHealth + 1);
--- a/src/core/membership/protocol-state.ts
+++ b/src/core/membership/protocol-state.ts
@@ -28,10 +28,10 @@
   | Omit<NackMessage, Header>
   | Omit<GossipMessage, Header>;
 
-/** About the bytes of a datagram without updates, packet headers included. */
+/** Approximate size of a datagram without updates, packet headers included. */
 const HEADER_BYTES = 130;
 
-/** What the parts of the protocol work on. */
+/** Protocol state of one node, with the actions collected for the current input. */
 export class ProtocolState {
   readonly table: MemberTable;
   readonly queue = new GossipQueue();
@@ -41,7 +41,7 @@
   localHealth = 0;
   /** Highest rules version that this node knows of. */
   highestVersion = 0;
-  /** Counts changes of what is known of rules versions. */
+  /** Counts changes of what is known about rules versions. */
   versionChanges = 0;
   private readonly versionMap = new VersionMap(this);
   private actions: MembershipAction[] = [];
@@ -62,7 +62,7 @@
     return this.table.listLive().length + 1;
   }
 
-  /** Times that an update is sent. */
+  /** Number of times that an update is sent. */
   get retransmitLimit(): number {
     return Math.ceil(this.options.retransmitMultiplier * Math.log10(this.fleetSize + 1));
   }
@@ -85,12 +85,12 @@
     this.actions.push({ type: 'event', event, nodeId });
   }
 
-  /** Notes that the view has changed. */
+  /** Records that the view has changed. */
   markChanged(): void {
     this.changed = true;
   }
 
-  /** Takes in what a datagram says about rules versions. */
+  /** Applies what a datagram reports about rules versions. */
   applyVersions(digest: VersionDigest): void {
     this.versionMap.apply(digest);
   }
@@ -102,7 +102,7 @@
     this.markChanged();
   }
 
-  /** Ends the handling of one input. */
+  /** Ends the handling of one input; returns and clears its actions. */
   takeActions(): readonly MembershipAction[] {
     if (this.changed) this.actions.push({ type: 'changed' });
     this.changed = false;
@@ -114,7 +114,7 @@
   /**
    * Sends a datagram with as many waiting updates as fit after those of `first`.
    *
-   * @returns about the bytes that it takes
+   * @returns approximate size of the datagram in bytes
    */
   send(to: string, content: MessageContent, first: readonly MemberUpdate[] = []): number {
     const { nodeId, incarnation, configVersion } = this.self;
@@ -137,7 +137,7 @@
     return this.fitDatagram({ type: 'facts', facts, leaving });
   }
 
-  /** What this node holds against a member, for the member to refute. */
+  /** This node's claim against a member, for the member to refute. */
   describeClaim(nodeId: string, incarnation: number): MemberUpdate | undefined {
     const entry = this.table.find(nodeId);
     const claim = entry === undefined ? this.table.findTombstone(nodeId) : entry.claim;
@@ -149,8 +149,8 @@
   }
 
   /**
-   * Raises what is known of a member's rules version. The first news of a new version is
-   * spread ahead of everything else; who else has it travels as {@link VersionMap} bits.
+   * Raises the known rules version of a member. The first report of a new version is gossiped
+   * ahead of everything else; which other members have it is sent as {@link VersionMap} bits.
    */
   raiseVersion(nodeId: string, configVersion: number): void {
     const entry = this.table.find(nodeId);
@@ -159,7 +159,7 @@
     this.noteVersion(nodeId, entry.facts.incarnation, configVersion);
   }
 
-  /** Takes note of a version that some node, perhaps this one, has in force. */
+  /** Records a version that some node, perhaps this one, has in force. */
   noteVersion(nodeId: string, incarnation: number, configVersion: number): void {
     this.versionChanges += 1;
     this.markChanged();
@@ -168,7 +168,7 @@
     this.queue.push({ type: 'version', nodeId, incarnation, configVersion });
   }
 
-  /** Whether an entry takes part in probing and gossip. */
+  /** Whether a member is known and has not failed, and so is probed and gossiped to. */
   isReachable(nodeId: string): boolean {
     const entry = this.table.find(nodeId);
     return entry !== undefined && stateOf(entry) !== 'failed';
--- a/src/core/membership/rejoin.ts
+++ b/src/core/membership/rejoin.ts
@@ -1,18 +1,18 @@
-/** Pings of addresses where a member may have come up or come back. */
+/** Pings addresses where a member may have started or returned. */
 import { sample } from './probe-order.js';
 import type { ProtocolState } from './protocol-state.js';
 
-/** Pause between pings while this node knows nobody, and seeds pinged at once. */
+/** Interval between pings while this node knows no other member, and seeds pinged at once. */
 const ALONE_INTERVAL_MS = 1_000;
 const ALONE_SEEDS = 3;
 
 /**
- * Joins by the seeds, and after a cut finds the other side again: one ping an interval to
- * a seed or a failed member, so that the cost does not depend on their number.
+ * Joins through the seeds, and finds the other side again after a partition: sends one ping per
+ * interval to a seed or a failed member, so that the cost does not depend on their number.
  */
 export class Rejoin {
   private readonly seeds = new Set<string>();
-  private at = Infinity;
+  private nextAt = Infinity;
 
   constructor(
     private readonly state: ProtocolState,
@@ -20,26 +20,26 @@
   ) {}
 
   nextTimer(): number {
-    return this.at;
+    return this.nextAt;
   }
 
   start(now: number): void {
-    this.at = now;
+    this.nextAt = now;
   }
 
-  /** Adds addresses; tries at once when this node has started and knows nobody. */
+  /** Adds addresses; pings at once when this node has started and knows no other member. */
   addSeeds(now: number, addresses: readonly string[]): void {
     for (const address of addresses) {
       if (address !== this.state.self.peerAddress) this.seeds.add(address);
     }
-    if (this.isAlone && this.at !== Infinity) this.at = now;
+    if (this.isAlone && this.nextAt !== Infinity) this.nextAt = now;
   }
 
   onTimer(now: number): void {
-    if (now < this.at) return;
+    if (now < this.nextAt) return;
     const { state, isAlone } = this;
     const interval = isAlone ? ALONE_INTERVAL_MS : state.options.rejoinIntervalMs;
-    this.at = now + interval * (0.75 + 0.5 * state.random.next());
+    this.nextAt = now + interval * (0.75 + 0.5 * state.random.next());
     const absent = [...this.listAddresses()].filter(
       (address) => state.table.findLiveByAddress(address) === undefined,
     );
--- a/src/core/membership/suspicion.ts
+++ b/src/core/membership/suspicion.ts
@@ -6,7 +6,7 @@
   private readonly suspecters = new Set<string>();
   private readonly minMs: number;
   private readonly maxMs: number;
-  private readonly wanted: number;
+  private readonly confirmationsWanted: number;
 
   /**
    * @param fleetSize members that are not failed, this node included
@@ -24,23 +24,24 @@
     this.minMs = leaving
       ? options.probeIntervalMs
       : suspicionMultiplier * scale * options.probeIntervalMs;
-    // Of a small fleet, only the members other than the subject and the first can confirm.
-    this.wanted = Math.max(0, Math.min(suspicionConfirmations, fleetSize - 2));
-    this.maxMs = leaving || this.wanted === 0 ? this.minMs : suspicionMaxFactor * this.minMs;
+    // In a small fleet, only members other than the subject and the first suspecter can confirm.
+    this.confirmationsWanted = Math.max(0, Math.min(suspicionConfirmations, fleetSize - 2));
+    this.maxMs =
+      leaving || this.confirmationsWanted === 0 ? this.minMs : suspicionMaxFactor * this.minMs;
     this.suspecters.add(from);
   }
 
   /** Time at which the member counts as failed. */
   get deadline(): number {
-    if (this.wanted === 0) return this.startedAt + this.minMs;
-    const confirmations = Math.min(this.wanted, this.suspecters.size - 1);
-    const share = Math.log(confirmations + 1) / Math.log(this.wanted + 1);
+    if (this.confirmationsWanted === 0) return this.startedAt + this.minMs;
+    const confirmations = Math.min(this.confirmationsWanted, this.suspecters.size - 1);
+    const share = Math.log(confirmations + 1) / Math.log(this.confirmationsWanted + 1);
     return this.startedAt + this.maxMs - (this.maxMs - this.minMs) * share;
   }
 
   /** Counts another node's suspicion; returns whether it was new and still shortens the wait. */
   confirm(from: string): boolean {
-    if (this.suspecters.has(from) || this.suspecters.size > this.wanted) return false;
+    if (this.suspecters.has(from) || this.suspecters.size > this.confirmationsWanted) return false;
     this.suspecters.add(from);
     return true;
   }
--- a/src/core/membership/update-merger.ts
+++ b/src/core/membership/update-merger.ts
@@ -14,18 +14,18 @@
 import type { ProtocolState } from './protocol-state.js';
 import { Suspicion } from './suspicion.js';
 
-/** Time for which facts are not asked for again, in milliseconds. */
-const FETCH_PAUSE_MS = 2_000;
+/** Minimum time before a member's facts are requested again, in milliseconds. */
+const MIN_FETCH_INTERVAL_MS = 2_000;
 
-/** Refutations that one datagram brings back to the sender of stale claims. */
+/** Maximum number of corrections sent back for the stale claims of one datagram. */
 const MAX_CORRECTIONS = 3;
 
-/** Where updates came from. */
+/** Source of updates. */
 export interface UpdateSource {
   readonly nodeId: string;
-  /** From a state exchange: what the other side holds failed may just have been cut off. */
+  /** From a state exchange: a member that the peer holds failed may only have been partitioned. */
   readonly isSync: boolean;
-  /** This node is just joining: what it learns is no news to the others. */
+  /** This node is just joining: the other members already know what it learns. */
   readonly isJoin?: boolean;
 }
 
@@ -35,7 +35,7 @@
 
   constructor(
     private readonly state: ProtocolState,
-    /** Called for each member that is new or has come back. */
+    /** Called for each member that is new or has returned. */
     private readonly onJoined: (now: number, entry: MemberEntry) => void,
   ) {}
 
@@ -49,15 +49,15 @@
           this.applyFacts(now, update, source);
           break;
         case 'notice':
-          if (this.isWanted(now, update)) wanted.push(update.nodeId);
+          if (this.shouldFetch(now, update)) wanted.push(update.nodeId);
           break;
         case 'suspect':
           this.applySuspect(now, update);
-          this.noteStale(update, source, corrections);
+          this.collectCorrection(update, source, corrections);
           break;
         case 'failed':
           this.applyFailed(now, update, source);
-          this.noteStale(update, source, corrections);
+          this.collectCorrection(update, source, corrections);
           break;
         case 'version':
           this.applyVersion(update);
@@ -70,8 +70,8 @@
     if (corrections.length > 0) this.correct(source.nodeId, corrections);
   }
 
-  /** A datagram's claim that has been refuted since: its sender has missed the refutation. */
-  private noteStale(
+  /** Corrects a datagram's claim that was refuted since: its sender has missed the refutation. */
+  private collectCorrection(
     update: SuspectUpdate | FailedUpdate,
     source: UpdateSource,
     corrections: MemberUpdate[],
@@ -97,7 +97,7 @@
     this.applySuspect(now, { type: 'suspect', nodeId, incarnation, sequence, from });
   }
 
-  /** Fails every member whose suspicion has run out. */
+  /** Marks every member whose suspicion has expired as failed. */
   expireSuspicions(now: number): void {
     for (const entry of [...this.state.table.listSuspects()]) {
       if (entry.suspicion !== undefined && now >= entry.suspicion.deadline) {
@@ -106,7 +106,7 @@
     }
   }
 
-  /** Takes in a rules version heard from the member itself or about it. */
+  /** Applies a rules version received from the member itself or about it. */
   applyVersion({ nodeId, incarnation, configVersion }: VersionUpdate): void {
     const entry = this.state.table.find(nodeId);
     if (entry?.facts.incarnation === incarnation) this.state.raiseVersion(nodeId, configVersion);
@@ -162,8 +162,8 @@
   }
 
   /**
-   * An address belongs to the process that started last. Returns false when the facts are
-   * those of an earlier process; fails the earlier member otherwise.
+   * An address belongs to the process that started last. Returns false when the facts are those of
+   * an earlier process; otherwise marks the earlier member as failed.
    */
   private claimAddress(now: number, facts: MemberFacts): boolean {
     const { table, self } = this.state;
@@ -213,7 +213,7 @@
     if (entry === undefined) {
       const tombstone = state.table.findTombstone(update.nodeId);
       if (tombstone === undefined || comparePositions(update, tombstone) > 0) {
-        state.table.bury(update.nodeId, update, now);
+        state.table.addTombstone(update.nodeId, update, now);
       }
       return;
     }
@@ -236,14 +236,14 @@
     state.markChanged();
   }
 
-  private isWanted(now: number, { nodeId, incarnation, sequence }: NoticeUpdate): boolean {
+  private shouldFetch(now: number, { nodeId, incarnation, sequence }: NoticeUpdate): boolean {
     const { table, self } = this.state;
     if (nodeId === self.nodeId) return false;
     const known = table.find(nodeId)?.facts ?? table.findTombstone(nodeId);
     if (known !== undefined && comparePositions({ incarnation, sequence }, known) <= 0)
       return false;
-    const askedAt = this.fetchedAt.get(nodeId);
-    if (askedAt !== undefined && now - askedAt < FETCH_PAUSE_MS) return false;
+    const lastFetchAt = this.fetchedAt.get(nodeId);
+    if (lastFetchAt !== undefined && now - lastFetchAt < MIN_FETCH_INTERVAL_MS) return false;
     this.fetchedAt.set(nodeId, now);
     return true;
   }
@@ -257,8 +257,8 @@
   }
 
   /**
-   * Moves this node's facts above a claim. A claim of a later incarnation comes from an
-   * earlier process of the same name on a clock that ran ahead; this one goes above it.
+   * Raises this node's position above a claim. A claim of a later incarnation comes from an
+   * earlier process of the same name whose clock ran ahead; this process takes a higher one.
    */
   private refute(claim: ClaimPosition): void {
     const { state } = this;
--- a/src/core/membership/version-digest.ts
+++ b/src/core/membership/version-digest.ts
@@ -1,12 +1,12 @@
 /** The rules versions of all members as one bit field, as datagrams carry it. */
 
-/** What a datagram says about rules versions. */
+/** What a datagram reports about rules versions. */
 export interface VersionDigest {
-  /** Hash of the sender's list of members; the bits mean something to an equal list only. */
+  /** Hash of the sender's list of members; the bits apply only to an equal list. */
   readonly view: number;
   /** Highest version that the sender knows of. */
   readonly version: number;
-  /** Bit i: member i of the list, by node id, has it in force. Empty: all have. */
+  /** Bit i: whether member i of the list, by node id, has it in force. Empty: all have. */
   readonly bits: Uint8Array;
 }
 
--- a/src/core/membership/version-map.ts
+++ b/src/core/membership/version-map.ts
@@ -1,7 +1,7 @@
 /**
- * Which members have the newest rules version in force, as one bit a member. A change of
- * the rules moves every member; a claim for each would cost a large fleet more than its
- * whole budget, while the bits of 1,000 members take 125 bytes and merge by a logical or.
+ * Which members have the newest rules version in force, as one bit per member. A change of the
+ * rules affects every member; one claim per member would cost a large fleet more than its whole
+ * byte budget, while the bits of 1,000 members take 125 bytes and merge by a logical or.
  */
 import { combineHashes, hash32 } from '../hash.js';
 import type { MemberFacts } from '../member.js';
@@ -10,22 +10,22 @@
 
 const NO_BITS = new Uint8Array(0);
 
-/** What a version map reads and changes of the protocol's state. */
+/** The part of the protocol's state that a version map reads and changes. */
 export interface VersionState {
   readonly self: MemberFacts;
   readonly table: Pick<MemberTable, 'find' | 'listLive'>;
   /** Counts changes of the list of members. */
   readonly viewChanges: number;
-  /** Counts changes of what is known of rules versions. */
+  /** Counts changes of what is known about rules versions. */
   readonly versionChanges: number;
   /** Highest rules version that this node knows of. */
   readonly highestVersion: number;
   raiseVersion(nodeId: string, configVersion: number): void;
 }
 
-/** Builds and takes in digests. */
+/** Creates and applies digests. */
 export class VersionMap {
-  /** Node ids of the list; this node's own among them. */
+  /** Sorted node ids of the list, this node's own included. */
   private order: string[] = [];
   private view = 0;
   private generation = -1;
@@ -45,7 +45,7 @@
     return this.digest;
   }
 
-  /** Takes in another node's digest; ignored when the lists differ. */
+  /** Applies another node's digest; ignored when the lists differ. */
   apply({ view, version, bits }: VersionDigest): void {
     this.refreshOrder();
     if (view !== this.view || version < this.state.highestVersion) return;
