--- a/src/sidecar/directory/node-directory.test.ts
+++ b/src/sidecar/directory/node-directory.test.ts
@@ -1,4 +1,4 @@
-/** The directory with a real link to another node; its timers run on a clock of the test. */
+/** Tests the directory with a real link to another node; its timers run on a manual clock. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, test } from 'node:test';
 import { waitUntil } from '../../../test/stand-ins/mesh.js';
@@ -7,23 +7,23 @@
 import { silentEventLog } from '../../kernel/event.js';
 import type { NodeStatus } from '../link/link-messages.js';
 import { LinkServer } from '../link/link-server.js';
-import { lapsedGraceMs, NodeDirectory } from './node-directory.js';
+import { expiredRecordGraceMs, NodeDirectory } from './node-directory.js';
 import { encodeNodeRecord, keyOfNode, type NodeRecord } from './node-record.js';
 
 const STATUS: NodeStatus = { node: 'peer', service: 's', target: 'ready', rulesVersion: 1 };
 
-const LAPSED_GRACE_MS = lapsedGraceMs(2);
+const EXPIRED_RECORD_GRACE_MS = expiredRecordGraceMs(2);
 
 let clock: ManualClock;
 let server: LinkServer;
 let directory: NodeDirectory;
 let record: NodeRecord;
-let ownLosses: number;
+let ownRecordLosses: number;
 let storeAvailable: boolean;
 
 beforeEach(async () => {
   clock = new ManualClock();
-  ownLosses = 0;
+  ownRecordLosses = 0;
   storeAvailable = true;
   server = new LinkServer({
     clock,
@@ -32,7 +32,7 @@
     rulesDocument: () => undefined,
     quarantine: { currentUpdate: () => undefined, onUpdate: () => {} },
     rulesConfirmation: () => undefined,
-    quota: { askQuota: () => assert.fail('no question') },
+    quota: { askQuota: () => assert.fail('no quota query') },
     leftTargetOf: () => undefined,
     onOwnTargetLeft: () => {},
     onPeerStatus: () => {},
@@ -49,7 +49,7 @@
     log: silentEventLog,
     random: createRandom(1),
     localTarget: { dispatch: () => assert.fail('no call') },
-    localQuota: { askQuota: () => assert.fail('no question') },
+    localQuota: { askQuota: () => assert.fail('no quota query') },
     status: () => ({ ...STATUS, node: 'own' }),
     rulesDocument: () => undefined,
     quarantine: { currentUpdate: () => undefined, onUpdate: () => {} },
@@ -60,13 +60,13 @@
     onRulesConfirmation: () => {},
     isStoreAvailable: () => storeAvailable,
     onOwnRecordLost: () => {
-      ownLosses += 1;
+      ownRecordLosses += 1;
     },
   });
   directory.viewsOf('s');
   put();
   await waitUntil(() => isKnown() && directory.viewsOf('s')[0]!.eligible);
-  // The link opens with the greeting, after the first connection.
+  // The link is open only after the greeting, which follows the connection.
   await waitUntil(() => directory.isReachable('peer'));
 });
 
@@ -80,7 +80,7 @@
   directory.apply([{ type: 'put', key: keyOfNode('peer'), value, revision: 1 }]);
 }
 
-function takeAway(node: string): void {
+function removeRecord(node: string): void {
   directory.apply([{ type: 'removed', key: keyOfNode(node), revision: 2 }]);
 }
 
@@ -88,76 +88,76 @@
   return directory.viewsOf('s').length === 1;
 }
 
-test('a node whose record has ended stays for a while, since the store may have been away', () => {
-  takeAway('peer');
-  clock.advance(LAPSED_GRACE_MS - 1);
+test('keeps a node for a while after its record expired, since the store may have been unavailable', () => {
+  removeRecord('peer');
+  clock.advance(EXPIRED_RECORD_GRACE_MS - 1);
   assert.equal(isKnown(), true);
 });
 
-test('a record that is back in time keeps its node', () => {
-  takeAway('peer');
-  clock.advance(LAPSED_GRACE_MS - 1);
+test('keeps a node whose record is written again in time', () => {
+  removeRecord('peer');
+  clock.advance(EXPIRED_RECORD_GRACE_MS - 1);
   put();
-  clock.advance(2 * LAPSED_GRACE_MS);
+  clock.advance(2 * EXPIRED_RECORD_GRACE_MS);
   assert.equal(isKnown(), true);
 });
 
-test('each end of a record gives the whole time anew', () => {
-  takeAway('peer');
-  clock.advance(LAPSED_GRACE_MS - 1);
+test('starts the whole grace period again each time a record expires', () => {
+  removeRecord('peer');
+  clock.advance(EXPIRED_RECORD_GRACE_MS - 1);
   put();
-  takeAway('peer');
-  clock.advance(LAPSED_GRACE_MS - 1);
+  removeRecord('peer');
+  clock.advance(EXPIRED_RECORD_GRACE_MS - 1);
   assert.equal(isKnown(), true);
   clock.advance(1);
   assert.equal(isKnown(), false);
 });
 
-test('a node whose record does not come back is taken as gone, though its link is open', () => {
-  takeAway('peer');
-  clock.advance(LAPSED_GRACE_MS);
+test('removes a node whose record is not written again, even though its link is open', () => {
+  removeRecord('peer');
+  clock.advance(EXPIRED_RECORD_GRACE_MS);
   assert.equal(isKnown(), false);
   put();
   assert.equal(isKnown(), true);
 });
 
-test('a node whose link ends soon after its record stays known for the rest of the time', async () => {
-  takeAway('peer');
+test('keeps a node for the rest of the grace period when its link closes soon after its record expired', async () => {
+  removeRecord('peer');
   server.close();
   await waitUntil(() => !directory.isReachable('peer'));
   assert.equal(isKnown(), true);
-  clock.advance(LAPSED_GRACE_MS);
+  clock.advance(EXPIRED_RECORD_GRACE_MS);
   assert.equal(isKnown(), false);
 });
 
-test('while the store is away nobody is taken as gone, since nothing can be heard of them', () => {
-  takeAway('peer');
+test('removes no node while the store is unavailable, since rewritten records would not be received', () => {
+  removeRecord('peer');
   storeAvailable = false;
-  clock.advance(3 * LAPSED_GRACE_MS);
+  clock.advance(3 * EXPIRED_RECORD_GRACE_MS);
   assert.equal(isKnown(), true);
   storeAvailable = true;
-  clock.advance(LAPSED_GRACE_MS);
+  clock.advance(EXPIRED_RECORD_GRACE_MS);
   assert.equal(isKnown(), false);
 });
 
-test('a listing without a node counts as the end of its record', () => {
+test('treats a record that a listing lacks as expired', () => {
   directory.replaceAll([]);
   assert.equal(isKnown(), true);
-  clock.advance(LAPSED_GRACE_MS);
+  clock.advance(EXPIRED_RECORD_GRACE_MS);
   assert.equal(isKnown(), false);
 });
 
-test('the loss of the own record is told, by a change and by a listing', () => {
-  takeAway('own');
-  assert.equal(ownLosses, 1);
+test('reports the loss of the own record, by a change and by a listing', () => {
+  removeRecord('own');
+  assert.equal(ownRecordLosses, 1);
   directory.replaceAll([]);
-  assert.equal(ownLosses, 2);
+  assert.equal(ownRecordLosses, 2);
   const value = encodeNodeRecord({ ...record, node: 'own' });
   directory.replaceAll([{ key: keyOfNode('own'), value, revision: 3 }]);
-  assert.equal(ownLosses, 2);
+  assert.equal(ownRecordLosses, 2);
 });
 
-test('a record of another writer names no target; the others hold', () => {
+test('ignores an invalid record of another writer and keeps the valid ones', () => {
   for (const value of [
     '',
     '{',
@@ -177,21 +177,21 @@
   assert.equal(directory.viewsOf('s').length, 1, 'a record under the key of another node');
 });
 
-test('a record that another writer has overwritten counts as ended until it is back', () => {
+test('treats a record that another writer has overwritten as expired until it is written again', () => {
   directory.apply([{ type: 'put', key: keyOfNode('peer'), value: Buffer.from('{'), revision: 3 }]);
   assert.equal(isKnown(), true);
-  clock.advance(LAPSED_GRACE_MS);
+  clock.advance(EXPIRED_RECORD_GRACE_MS);
   assert.equal(isKnown(), false);
   put();
   assert.equal(isKnown(), true);
 });
 
-test('the own record is written again when another writer has overwritten it', () => {
+test('reports the loss of the own record when another writer has overwritten it', () => {
   directory.apply([{ type: 'put', key: keyOfNode('own'), value: Buffer.from('x'), revision: 3 }]);
-  assert.equal(ownLosses, 1);
+  assert.equal(ownRecordLosses, 1);
 });
 
-/** Records of a large service at addresses where nobody listens. */
+/** Puts records of a large service at addresses on which nothing listens. */
 function putMany(count: number): void {
   const events = Array.from({ length: count }, (_, index) => {
     const node = `many-${index}`;
@@ -207,7 +207,7 @@
 
 const SUBSET_SIZE = 14;
 
-test('of a large service a subset is used; targets out of reach are replaced and stay', async () => {
+test('uses a subset of a large service; unreachable targets stay in it and get substitutes', async () => {
   putMany(60);
   const first = directory.viewsOf('many');
   assert.equal(first.length, SUBSET_SIZE);
@@ -217,7 +217,7 @@
   assert.ok(first.every(({ id }) => ids.has(id)));
 });
 
-test('a caller with more tries under way than targets uses more of them', () => {
+test('widens the subset when more attempts are in progress than it has targets', () => {
   putMany(60);
   assert.equal(directory.viewsOf('many').length, SUBSET_SIZE);
   assert.equal(directory.widen('many', SUBSET_SIZE), false);
--- a/src/sidecar/directory/node-directory.ts
+++ b/src/sidecar/directory/node-directory.ts
@@ -1,6 +1,6 @@
 /**
- * All nodes and the links to them. Addresses come from the store's records; whether a node's
- * target takes work comes from the node itself while a link is open, else from its record.
+ * Directory of all nodes and the links to them. Addresses come from the store's records. Whether a node's
+ * target accepts requests comes from the last status that the node sent over its link, else from its record.
  */
 import { rankNodes } from '../../core/rendezvous.js';
 import type { TargetView } from '../../core/overload.js';
@@ -24,7 +24,7 @@
 import { gatherRecordsMs } from './watch-timing.js';
 import { decodeNodeRecord, NODE_RECORD_PREFIX, type NodeRecord } from './node-record.js';
 
-/** What the directory works with. */
+/** Settings, dependencies and callbacks of a {@link NodeDirectory}. */
 export interface NodeDirectoryOptions {
   /** This node; its record is not a peer's. */
   readonly node: string;
@@ -34,83 +34,94 @@
   readonly clock: Clock;
   readonly log: EventLog;
   readonly random: Random;
-  /** The own target. */
+  /** Runs attempts at the local target. */
   readonly localTarget: AttemptPort;
-  /** Counts limits of tenants here. */
+  /** Counts tenants' limits at this node. */
   readonly localQuota: QuotaPort;
   status(): NodeStatus;
-  /** The rules in force as a document; undefined: none. */
+  /** The document of the rules in force; undefined while there are none. */
   rulesDocument(): Buffer | undefined;
   readonly quarantine: QuarantineExchange;
-  /** Targets of a service came, left or changed. */
+  /** Called when targets of a service joined, left or changed. */
   onServiceChanged(service: string): void;
-  /** A peer knows rules of this version. */
+  /**
+   * Called when a peer reports the version of its rules.
+   *
+   * @param request requests this peer's rules
+   */
   onPeerRules(version: number, request: () => void): void;
   onRulesDocument(document: Uint8Array): void;
-  /** A peer has told, not before this boot time, how recently its rules were confirmed. */
+  /**
+   * Called when a peer reports how recently its rules were confirmed.
+   *
+   * @param askedAt boot time before which the peer did not write its report
+   */
   onRulesConfirmation(confirmation: RulesConfirmation, askedAt: number): void;
-  /** Whether changes of the store are heard now. */
+  /** Whether this node receives changes from the store now. */
   isStoreAvailable(): boolean;
-  /** The store holds no record of this node. */
+  /** Called when the store holds no valid record of this node. */
   onOwnRecordLost(): void;
-  /** A peer remembers that the own target has left in this life. */
+  /** Called when a peer reports that this incarnation of the local target has left. */
   onOwnTargetLeft(incarnation: string): void;
 }
 
-/** Time after the store is back in which a node whose record has ended writes it again, in milliseconds. */
-const REWRITE_WITHIN_MS = 2_000;
+/** Longest time in which a node writes an expired record again once the store is available, in milliseconds. */
+const MAX_RECORD_REWRITE_MS = 2_000;
 
-/** Time for which a node whose record has ended stays known: until a new one would be heard of. */
-export function lapsedGraceMs(nodes: number): number {
-  return REWRITE_WITHIN_MS + gatherRecordsMs(nodes);
+/**
+ * Time for which a node with an expired record is kept, in milliseconds. By its end a rewritten record would
+ * have been received.
+ */
+export function expiredRecordGraceMs(nodes: number): number {
+  return MAX_RECORD_REWRITE_MS + gatherRecordsMs(nodes);
 }
 
-/** Peers that a starting node hears before it trusts an old record of itself. */
-const PEERS_HEARD = 3;
-/** Longest wait for the first of them, in milliseconds. */
-const HEAR_WITHIN_MS = 600;
-const HEAR_CHECK_MS = 20;
-/** Peers that are asked at once whether the rules are the newest. */
-const PEERS_ASKED = 3;
-/** Time for what a peer has to say after its link has opened, in milliseconds. */
-const HEAR_ANSWER_MS = 100;
+/** Peers that a starting node connects to before it trusts an old record of itself. */
+const STARTUP_PEERS = 3;
+/** Longest wait for the first of these connections, in milliseconds. */
+const STARTUP_CONNECT_TIMEOUT_MS = 600;
+const STARTUP_CONNECT_CHECK_MS = 20;
+/** Peers that are asked at the same time how recently their rules were confirmed. */
+const CONFIRMATION_PEERS = 3;
+/** Time for peers to send their reports about this node after the first link has opened, in milliseconds. */
+const STARTUP_REPORT_MS = 100;
 
-/** Factor by which a subset is widened when its targets have more than one try of this node each. */
-const WIDTH_STEP = 2;
+/** Factor by which a subset is widened when its targets have more than one attempt of this node each. */
+const SUBSET_WIDENING_FACTOR = 2;
 
 interface Peer {
   record: NodeRecord;
-  /** Place in this node's order of targets; see {@link subsetRank}. */
+  /** Rank in this node's order of targets; see {@link subsetRank}. */
   rank: number;
   readonly link: PeerLink;
-  /** As the node itself said last over the link. */
-  said: NodeStatus | undefined;
-  /** The record is gone from the store; the link alone keeps the node, and not for long. */
-  lapsed: boolean;
-  cancelLapse: CancelTimer;
+  /** Last status that the node sent over the link. */
+  lastStatus: NodeStatus | undefined;
+  /** The store no longer holds the record; the node is kept for a limited time. */
+  isRecordExpired: boolean;
+  cancelRemoval: CancelTimer;
 }
 
-/** See the module comment. */
+/** Tracks the nodes of the system and owns the links to them. */
 export class NodeDirectory {
   private readonly peers = new Map<string, Peer>();
   /**
-   * Lives in which nodes' targets have left, by node. A node that starts anew from a record that the store
-   * has brought back may take its target for ready.
+   * Incarnations of targets that have left, by node. The store may restore an older record; a node that
+   * restarts from it would restore its target as ready.
    */
   private readonly leftTargets = new Map<string, string>();
-  /** Until then records may be missing that are about to be written again. */
-  private recoversUntil = -Infinity;
+  /** Time until which missing records may still be written again. */
+  private recoveringUntil = -Infinity;
   /** Services that this node calls, with their subsets. */
   private readonly called = new Map<string, CalledTargets>();
 
   constructor(private readonly options: NodeDirectoryOptions) {}
 
-  /** Nodes known, this one included. */
+  /** Number of known nodes, this one included. */
   get size(): number {
     return this.peers.size + 1;
   }
 
-  /** Takes in all records of the store. */
+  /** Replaces all records with a listing of the store. */
   replaceAll(items: readonly StoreItem[]): void {
     const present = new Set(items.map(({ key }) => key.slice(NODE_RECORD_PREFIX.length)));
     if (!present.has(this.options.node)) this.options.onOwnRecordLost();
@@ -118,7 +129,7 @@
     for (const item of items) this.onRecord(item.key, item.value);
   }
 
-  /** Takes in changes of the store. */
+  /** Applies changes of the store. */
   apply(events: readonly StoreEvent[]): void {
     for (const event of events) {
       if (event.type === 'put') this.onRecord(event.key, event.value);
@@ -126,26 +137,26 @@
     }
   }
 
-  /** The store has come back from an older copy: nodes that it lacks write their records again. */
+  /** Called when the store was restored from an older copy. Nodes that it lacks write their records again. */
   onStoreEraChanged(): void {
-    this.recoversUntil = this.options.clock.now() + lapsedGraceMs(this.size);
+    this.recoveringUntil = this.options.clock.now() + expiredRecordGraceMs(this.size);
   }
 
-  /** Life in which a node's target has left; undefined: none that is known. */
+  /** Incarnation of a node's target that has left; undefined when none is known. */
   leftTargetOf(node: string): string | undefined {
     return this.leftTargets.get(node);
   }
 
-  /** Resolves when peers have had time to tell what they remember of this node. */
+  /** Connects to some peers; resolves when they have had time to report what they know of this node. */
   async hearPeers(): Promise<void> {
     const { clock } = this.options;
-    const asked = [...this.peers.values()].slice(0, PEERS_HEARD);
-    for (const { link } of asked) link.open();
-    const end = clock.now() + HEAR_WITHIN_MS;
-    while (clock.now() < end && !asked.some(({ link }) => link.isReachable)) {
-      await pause(clock, HEAR_CHECK_MS);
+    const startupPeers = [...this.peers.values()].slice(0, STARTUP_PEERS);
+    for (const { link } of startupPeers) link.open();
+    const end = clock.now() + STARTUP_CONNECT_TIMEOUT_MS;
+    while (clock.now() < end && !startupPeers.some(({ link }) => link.isReachable)) {
+      await pause(clock, STARTUP_CONNECT_CHECK_MS);
     }
-    await pause(clock, HEAR_ANSWER_MS);
+    await pause(clock, STARTUP_REPORT_MS);
   }
 
   /** Whether the link to a node is open. */
@@ -154,8 +165,8 @@
   }
 
   /**
-   * The targets of a service that this node uses, as routing sees them; a target's id is its node's.
-   * Links to their nodes are opened; see {@link chooseSubset}.
+   * Returns the targets of a service that this node uses, for routing, and opens the links to their nodes.
+   * A target's id is its node's. See {@link chooseSubset}.
    */
   viewsOf(service: string): readonly TargetView[] {
     const called = this.calledTargets(service);
@@ -173,23 +184,23 @@
   }
 
   /**
-   * Widens the subset of a service when more tries are under way than it has targets: a caller with so
-   * many is one of few, and a narrow subset would crowd its targets while others are idle.
+   * Widens the subset of a service when more attempts are in progress than it has targets. A caller with so
+   * many attempts is one of few, and a narrow subset would overload its targets while others are idle.
    *
-   * @returns whether it was widened
+   * @returns whether the subset was widened
    */
-  widen(service: string, tries: number): boolean {
+  widen(service: string, attempts: number): boolean {
     const called = this.calledTargets(service);
-    if (called.isWhole || tries <= called.size) return false;
-    called.width *= WIDTH_STEP;
-    // Until the targets are read again.
-    called.size = tries;
+    if (called.isWhole || attempts <= called.size) return false;
+    called.width *= SUBSET_WIDENING_FACTOR;
+    // Prevents another widening until the targets are read again.
+    called.size = attempts;
     return true;
   }
 
   /**
-   * The node whose target runs the trials of a request: the same at all nodes with the same records, by
-   * rendezvous hashing. Undefined while this node has no open link to it.
+   * Returns the node whose target runs the trials of a request, chosen by rendezvous hashing: all nodes with
+   * the same records choose the same one. Undefined while this node has no open link to it.
    */
   trialNodeOf(service: string, content: string): string | undefined {
     const candidates = [...this.peers]
@@ -205,14 +216,14 @@
     return link?.isReachable === true ? node : undefined;
   }
 
-  /** Nodes that can be asked to count limits, this one included. */
+  /** Nodes that can be asked to count tenants' limits, this one included. */
   countingCandidates(): readonly string[] {
     const nodes = [this.options.node];
     for (const [node, { link }] of this.peers) if (!link.isOutOfReach) nodes.push(node);
     return nodes;
   }
 
-  /** Way to a node that counts limits; undefined while there is no open link to it. */
+  /** Port to a node that counts tenants' limits; undefined while no link to it is open. */
   quotaPortOf(node: string): QuotaPort | undefined {
     if (node === this.options.node) return this.options.localQuota;
     const link = this.peers.get(node)?.link;
@@ -220,42 +231,42 @@
     return link?.isReachable === true ? link : undefined;
   }
 
-  /** Way to the target beside a node. */
+  /** Port to the target of a node. */
   portOf(node: string): AttemptPort | undefined {
     if (node === this.options.node) return this.options.localTarget;
     return this.peers.get(node)?.link;
   }
 
-  /** Tells all connected nodes what this node now says of itself. */
+  /** Sends this node's status to all connected nodes. */
   announceStatus(): void {
     const status = this.options.status();
     for (const { link } of this.peers.values()) link.announceStatus(status);
   }
 
   /**
-   * Asks some nodes, at random, how recently their rules were confirmed.
+   * Asks some random connected nodes how recently their rules were confirmed.
    *
-   * @returns how many were asked
+   * @returns the number of nodes asked
    */
   requestConfirmations(): number {
     const reachable = [...this.peers.values()].filter(({ link }) => link.isReachable);
     const first = Math.floor(this.options.random.next() * reachable.length);
-    const asked = Math.min(PEERS_ASKED, reachable.length);
-    for (let count = 0; count < asked; count += 1) {
+    const requested = Math.min(CONFIRMATION_PEERS, reachable.length);
+    for (let count = 0; count < requested; count += 1) {
       reachable[(first + count) % reachable.length]!.link.requestConfirmation();
     }
-    return asked;
+    return requested;
   }
 
-  /** Tells all connected nodes of requests under which targets ended. */
+  /** Sends a quarantine update to all connected nodes. */
   sendUpdate(update: QuarantineUpdate): void {
     for (const { link } of this.peers.values()) link.sendUpdate(update);
   }
 
-  /** Ends all links. */
+  /** Closes all links. */
   close(): void {
-    for (const { link, cancelLapse } of this.peers.values()) {
-      cancelLapse();
+    for (const { link, cancelRemoval } of this.peers.values()) {
+      cancelRemoval();
       link.close('stopped');
     }
     this.peers.clear();
@@ -285,21 +296,22 @@
   private onRecord(key: string, value: Buffer): void {
     const record = decodeNodeRecord(key, value);
     if (record === undefined) {
-      // Of another writer: it names no target, as if it were not there; its node writes it again.
+      // Another writer has overwritten the record. It is treated as missing; its node writes it again.
       this.options.log.emit(Event.MemberRecordRejected, { key, bytes: value.length });
       this.onRemoved(key.slice(NODE_RECORD_PREFIX.length));
       return;
     }
     if (record.node === this.options.node) return;
-    if (record.target === 'leaving') this.leftTargets.set(record.node, lifeIn(record));
+    if (record.target === 'leaving') this.leftTargets.set(record.node, incarnationIn(record));
     const known = this.peers.get(record.node);
     if (known?.record.address === record.address && known.record.service === record.service) {
-      known.lapsed = false;
-      known.cancelLapse();
+      known.isRecordExpired = false;
+      known.cancelRemoval();
       known.record = record;
       known.rank = this.rankOf(record);
     } else {
-      if (known !== undefined) this.remove(record.node, known, 'the node has moved');
+      if (known !== undefined)
+        this.remove(record.node, known, 'its address or service has changed');
       this.add(record);
     }
     this.options.onServiceChanged(record.service);
@@ -335,7 +347,7 @@
       },
     });
     const rank = this.rankOf(record);
-    const state = { said: undefined, lapsed: false, cancelLapse: () => {} };
+    const state = { lastStatus: undefined, isRecordExpired: false, cancelRemoval: () => {} };
     this.peers.set(node, { record, rank, link, ...state });
     log.emit(Event.MemberJoined, { peer: node, address, service });
   }
@@ -345,33 +357,33 @@
   }
 
   /**
-   * The end of a record alone is no death: its lease may have run out while the store was away. A
-   * node that lives and reaches the store writes it again; one that does not is taken as gone.
+   * A missing record does not mean that its node failed: the lease may have expired while the store was
+   * unavailable. A running node that reaches the store writes it again; a node that does not is removed.
    */
   private onRemoved(node: string): void {
     if (node === this.options.node) this.options.onOwnRecordLost();
     const peer = this.peers.get(node);
-    if (peer === undefined || peer.lapsed) return;
-    peer.lapsed = true;
-    if (!peer.link.isReachable && this.options.clock.now() >= this.recoversUntil) {
-      this.remove(node, peer, 'its record has ended');
+    if (peer === undefined || peer.isRecordExpired) return;
+    peer.isRecordExpired = true;
+    if (!peer.link.isReachable && this.options.clock.now() >= this.recoveringUntil) {
+      this.remove(node, peer, 'its record is missing from the store');
       return;
     }
-    this.removeLater(node, peer);
+    this.scheduleRemoval(node, peer);
   }
 
-  /** While the store is away for this node, it cannot hear that the record is back. */
-  private removeLater(node: string, peer: Peer): void {
+  /** Waits longer while this node cannot reach the store, since it would not receive the rewritten record. */
+  private scheduleRemoval(node: string, peer: Peer): void {
     const { clock, isStoreAvailable } = this.options;
-    peer.cancelLapse = clock.schedule(lapsedGraceMs(this.size), () => {
-      if (isStoreAvailable()) this.remove(node, peer, 'its record has not come back');
-      else this.removeLater(node, peer);
+    peer.cancelRemoval = clock.schedule(expiredRecordGraceMs(this.size), () => {
+      if (isStoreAvailable()) this.remove(node, peer, 'its record was not written again in time');
+      else this.scheduleRemoval(node, peer);
     });
   }
 
   private remove(node: string, peer: Peer, detail: string): void {
     this.peers.delete(node);
-    peer.cancelLapse();
+    peer.cancelRemoval();
     peer.link.close(detail);
     this.options.log.emit(Event.MemberFailed, { peer: node, detail });
     this.options.onServiceChanged(peer.record.service);
@@ -387,13 +399,13 @@
       this.remove(node, peer, `the node now fronts ${status.service}`);
       return;
     }
-    const { said } = peer;
+    const { lastStatus } = peer;
     const isSame =
-      said?.target === status.target &&
-      said.incarnation === status.incarnation &&
-      said.targetLeft === status.targetLeft;
+      lastStatus?.target === status.target &&
+      lastStatus.incarnation === status.incarnation &&
+      lastStatus.targetLeft === status.targetLeft;
     if (isSame) return;
-    peer.said = status;
+    peer.lastStatus = status;
     const { target, incarnation, targetLeft } = status;
     if (targetLeft === true && incarnation !== undefined) this.leftTargets.set(node, incarnation);
     this.options.log.emit(Event.PeerTargetChanged, { peer: node, target, incarnation });
@@ -409,12 +421,13 @@
   }
 }
 
-/** The subset of a service's targets that this node uses. */
+/** State of the subset of a service's targets that this node uses. */
 interface CalledTargets {
+  /** Multiple of the normal subset size. */
   width: number;
-  /** Targets in it when they were last read. */
+  /** Number of targets in the subset when they were last read. */
   size: number;
-  /** Whether it holds all targets. */
+  /** Whether the subset holds all targets of the service. */
   isWhole: boolean;
 }
 
@@ -423,26 +436,32 @@
 }
 
 function toCandidate(id: string, peer: Peer): PeerCandidate {
-  const { record, rank, link, said } = peer;
-  const usable = !link.isOutOfReach && (said?.target ?? record.target) === 'ready';
+  const { record, rank, link, lastStatus } = peer;
+  const usable = !link.isOutOfReach && (lastStatus?.target ?? record.target) === 'ready';
   return { id, zone: record.zone, rank, usable, peer };
 }
 
-/** Life of the target that a record names. */
-function lifeIn({ targetId: id, targetStartedAt: startedAt }: NodeRecord): string {
+/** Incarnation of the target that a record names. */
+function incarnationIn({ targetId: id, targetStartedAt: startedAt }: NodeRecord): string {
   return incarnationText(startedAt === undefined ? { id } : { id, startedAt });
 }
 
 function viewOf(id: string, peer: Peer): TargetView {
-  const { record, said } = peer;
+  const { record, lastStatus } = peer;
   const { zone, region } = record;
-  return { id, zone, region, eligible: isEligible(peer), ...withIncarnation(said?.incarnation) };
+  return {
+    id,
+    zone,
+    region,
+    eligible: isEligible(peer),
+    ...withIncarnation(lastStatus?.incarnation),
+  };
 }
 
 function withIncarnation(incarnation: string | undefined): { readonly incarnation?: string } {
   return incarnation === undefined ? {} : { incarnation };
 }
 
-function isEligible({ record, link, said }: Peer): boolean {
-  return link.isPromising && (said?.target ?? record.target) === 'ready';
+function isEligible({ record, link, lastStatus }: Peer): boolean {
+  return link.isPromising && (lastStatus?.target ?? record.target) === 'ready';
 }
--- a/src/sidecar/directory/node-record.test.ts
+++ b/src/sidecar/directory/node-record.test.ts
@@ -15,11 +15,11 @@
 };
 const KEY = keyOfNode('n');
 
-test('a record is read as it was written', () => {
+test('decodes a record as it was encoded', () => {
   assert.deepEqual(decodeNodeRecord(KEY, encodeNodeRecord(RECORD)), RECORD);
 });
 
-const ODD: readonly Record<string, unknown>[] = [
+const REJECTED: readonly Record<string, unknown>[] = [
   { address: 7 },
   { address: '10.0.0.1' },
   { address: '10.0.0.1:99999' },
@@ -32,14 +32,14 @@
   { node: 'another' },
 ];
 
-for (const changes of ODD) {
-  test(`a record of another writer names no target: ${JSON.stringify(changes)}`, () => {
+for (const changes of REJECTED) {
+  test(`rejects an invalid record of another writer: ${JSON.stringify(changes)}`, () => {
     const value = Buffer.from(JSON.stringify({ ...RECORD, ...changes }));
     assert.equal(decodeNodeRecord(KEY, value), undefined);
   });
 }
 
-test('whatever the bytes are, reading them never throws', () => {
+test('never throws when decoding, whatever the bytes are', () => {
   const bytes = fc.oneof(
     fc.uint8Array(),
     fc.json().map((text) => Buffer.from(text)),
--- a/src/sidecar/directory/node-record.ts
+++ b/src/sidecar/directory/node-record.ts
@@ -1,10 +1,10 @@
-/** What a node writes about itself into the store: where it is and what stands beside it. */
+/** The record that a node writes about itself into the store: its address, its location and its target. */
 import type { TargetState } from '../link/link-messages.js';
 
-/** Keys of all records begin so; the rest is the node's identity. */
+/** Prefix of the keys of all node records; the rest of a key is the node's identity. */
 export const NODE_RECORD_PREFIX = 'sillshore/nodes/';
 
-/** One node. */
+/** Record of one node. */
 export interface NodeRecord {
   readonly node: string;
   /** IP address and port for links. */
@@ -14,14 +14,14 @@
   readonly service: string;
   /** Identity of the target; empty while none is known. */
   readonly targetId: string;
-  /** Start of the target's process in Unix milliseconds; absent where targets don't tell. */
+  /** Start of the target's process in Unix milliseconds; absent where targets don't report it. */
   readonly targetStartedAt?: number;
   readonly target: TargetState;
-  /** Requests that the target works on at once; absent while none is known. */
+  /** Number of requests that the target works on at the same time; absent while no target is known. */
   readonly targetSlots?: number;
   /**
-   * Era of the store in which the record was written; absent where the store tells none. In a later era a
-   * newer record may have been forgotten.
+   * Era of the store in which the record was written; absent where the store reports none. In a later era the
+   * store may have lost a newer record.
    */
   readonly storeEra?: number;
 }
@@ -35,14 +35,13 @@
   return NODE_RECORD_PREFIX + node;
 }
 
-/** Writes a record. */
 export function encodeNodeRecord(record: NodeRecord): Buffer {
   return Buffer.from(JSON.stringify(record));
 }
 
 /**
- * Reads the record under a key; undefined when another writer has written it, so that it names no
- * target. Never throws, whatever the bytes are.
+ * Decodes the record under a key; undefined for a value that is not a valid record of the key's node (another
+ * writer wrote it). Never throws, whatever the bytes are.
  */
 export function decodeNodeRecord(key: string, value: Buffer): NodeRecord | undefined {
   try {
--- a/src/sidecar/directory/prefix-watch.test.ts
+++ b/src/sidecar/directory/prefix-watch.test.ts
@@ -1,4 +1,4 @@
-/** The watch with a scripted store. */
+/** Tests the watch with a scripted store. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Result } from 'true-myth';
@@ -15,7 +15,7 @@
 import { StoreEras } from '../../store/store-eras.js';
 import { PrefixWatch } from './prefix-watch.js';
 
-type WatchEnd = Result<WatchResult, StoreFailure>;
+type WatchOutcome = Result<WatchResult, StoreFailure>;
 
 const EVENT: StoreEvent = { type: 'put', key: 'k', value: Buffer.from('v'), revision: 12 };
 
@@ -25,24 +25,24 @@
   return () => {};
 }
 
-/** Runs a watch over scripted answers; returns what it asked for and what it was told. */
+/** Runs a watch over scripted answers; returns its calls and the number of changes that it received. */
 async function follow(
-  answers: readonly WatchEnd[],
-  onAsked: (eras: StoreEras, asked: readonly string[]) => void = () => {},
-): Promise<{ asked: string[]; heard: number }> {
+  answers: readonly WatchOutcome[],
+  onCall: (eras: StoreEras, calls: readonly string[]) => void = () => {},
+): Promise<{ calls: string[]; received: number }> {
   const eras = new StoreEras();
-  const asked: string[] = [];
-  let heard = 0;
+  const calls: string[] = [];
+  let received = 0;
   let next = 0;
   const store = {
     list: () => {
-      asked.push('list');
-      onAsked(eras, asked);
-      return Promise.resolve(Result.ok({ items: [], at: asked.length === 1 ? 10 : 20 }));
+      calls.push('list');
+      onCall(eras, calls);
+      return Promise.resolve(Result.ok({ items: [], at: calls.length === 1 ? 10 : 20 }));
     },
     watch: (_prefix: string, after: number) => {
-      asked.push(`after ${after}`);
-      onAsked(eras, asked);
+      calls.push(`after ${after}`);
+      onCall(eras, calls);
       const answer = answers[next];
       next += 1;
       if (answer === undefined) watch.close();
@@ -63,46 +63,48 @@
     pauseAfterEventsMs: () => 0,
     onListing: () => {},
     onEvents: (events) => {
-      heard += events.length;
+      received += events.length;
     },
   });
   await watch.run();
-  return { asked, heard };
+  return { calls, received };
 }
 
-test('an answer without changes moves nothing: a change may have been kept from it', async () => {
-  const { asked } = await follow([Result.ok({ type: 'events', events: [], at: 15 })]);
-  assert.deepEqual(asked, ['list', 'after 10', 'after 10']);
+test('keeps the revision after an answer without changes, since the answer may have missed one', async () => {
+  const { calls } = await follow([Result.ok({ type: 'events', events: [], at: 15 })]);
+  assert.deepEqual(calls, ['list', 'after 10', 'after 10']);
 });
 
-test('changes are handed on, and what follows them is asked for', async () => {
-  const { asked, heard } = await follow([Result.ok({ type: 'events', events: [EVENT], at: 12 })]);
-  assert.deepEqual(asked, ['list', 'after 10', 'after 12']);
-  assert.equal(heard, 1);
+test('passes changes on and continues after them', async () => {
+  const { calls, received } = await follow([
+    Result.ok({ type: 'events', events: [EVENT], at: 12 }),
+  ]);
+  assert.deepEqual(calls, ['list', 'after 10', 'after 12']);
+  assert.equal(received, 1);
 });
 
-test('after a failure everything is listed again, since another wait could be cut as well', async () => {
-  const { asked } = await follow([Result.err({ cause: 'unknown', detail: 'cut' })]);
-  assert.deepEqual(asked, ['list', 'after 10', 'list', 'after 20']);
+test('lists everything again after a failure, since another wait could be cut off as well', async () => {
+  const { calls } = await follow([Result.err({ cause: 'unknown', detail: 'cut' })]);
+  assert.deepEqual(calls, ['list', 'after 10', 'list', 'after 20']);
 });
 
-test('when history is gone everything is listed again', async () => {
-  const { asked } = await follow([Result.ok({ type: 'compacted' })]);
-  assert.deepEqual(asked, ['list', 'after 10', 'list', 'after 20']);
+test('lists everything again when the history was compacted', async () => {
+  const { calls } = await follow([Result.ok({ type: 'compacted' })]);
+  assert.deepEqual(calls, ['list', 'after 10', 'list', 'after 20']);
 });
 
-test('changes that are told in another era than their listing are listed anew', async () => {
-  const { asked, heard } = await follow(
+test('lists again instead of passing on changes of another era than the listing', async () => {
+  const { calls, received } = await follow(
     [Result.ok({ type: 'events', events: [EVENT], at: 12 })],
     (eras, soFar) => eras.accept(soFar.length === 1 ? 1 : 2),
   );
-  assert.deepEqual(asked, ['list', 'after 10', 'list', 'after 20']);
-  assert.equal(heard, 0);
+  assert.deepEqual(calls, ['list', 'after 10', 'list', 'after 20']);
+  assert.equal(received, 0);
 });
 
-test('a listing over the end of an era is made again', async () => {
-  const { asked } = await follow([Result.ok({ type: 'compacted' })], (eras, soFar) =>
+test('repeats a listing during which the era changed', async () => {
+  const { calls } = await follow([Result.ok({ type: 'compacted' })], (eras, soFar) =>
     eras.accept(soFar.length < 3 ? 1 : 2),
   );
-  assert.deepEqual(asked, ['list', 'after 10', 'list', 'list', 'after 20']);
+  assert.deepEqual(calls, ['list', 'after 10', 'list', 'list', 'after 20']);
 });
--- a/src/sidecar/directory/prefix-watch.ts
+++ b/src/sidecar/directory/prefix-watch.ts
@@ -1,4 +1,4 @@
-/** Follows a prefix of the store: a listing first, then its changes, again after a gap. */
+/** Watches a prefix of the store: lists it first, then follows its changes, and lists it again after a gap. */
 import type { Clock } from '../../kernel/clock.js';
 import { Event, type EventLog } from '../../kernel/event.js';
 import type { Random } from '../../core/random.js';
@@ -6,7 +6,7 @@
 import type { StoreBackoff } from '../../store/store-backoff.js';
 import type { StoreEras } from '../../store/store-eras.js';
 
-/** What a watch works with. */
+/** Settings, dependencies and callbacks of a {@link PrefixWatch}. */
 export interface PrefixWatchOptions {
   readonly prefix: string;
   readonly store: MetadataStore;
@@ -15,29 +15,29 @@
   readonly eras: StoreEras;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Spreads the ends of waits, so that nodes do not ask at the same time. */
+  /** Jitters the waits, so that nodes do not call the store at the same time. */
   readonly random: Random;
-  /** Wait of one call, in milliseconds; it is spread by a quarter around this. */
+  /** Mean wait of one call for changes, in milliseconds; each wait differs from it by up to a quarter. */
   waitMs(): number;
-  /** Pause after changes, so that those that follow come with one call, in milliseconds. */
+  /** Pause after changes, in milliseconds, so that one call returns all changes that follow. */
   pauseAfterEventsMs(): number;
-  /** All items, after the start and after a gap. */
+  /** Called with all items, after the start and after a gap. */
   onListing(items: readonly StoreItem[]): void;
   onEvents(events: readonly StoreEvent[]): void;
-  /** All that the store held when it was asked, at this boot time, has been told. */
+  /** Called when all that the store held at this boot time has been reported. */
   onCurrent?(askedAt: number): void;
 }
 
-/** Wait of a call that only asks whether there are changes, in milliseconds. */
+/** Wait of a call that only checks whether there are changes, in milliseconds. */
 const NO_WAIT_MS = 0;
 
-/** See the module comment. */
+/** Watch of one prefix; runs until it is closed. */
 export class PrefixWatch {
   private closed = false;
   private listed = false;
   private available = true;
   private revision: number | undefined;
-  /** Era of the store in which the revision was told. */
+  /** Era of the store to which the revision belongs. */
   private era: number | undefined;
 
   /** All items of the first listing. */
@@ -50,7 +50,7 @@
     });
   }
 
-  /** Whether a listing has been taken in. */
+  /** Whether a listing has been received. */
   get isListed(): boolean {
     return this.listed;
   }
@@ -60,7 +60,7 @@
     return this.available;
   }
 
-  /** Follows until it is closed. */
+  /** Watches until it is closed. */
   async run(): Promise<void> {
     for (;;) {
       await this.options.backoff.turn();
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Asks at once whether there are changes, beside the wait that is under way; the answer is told like
-   * those of the waits.
+   * Checks at once whether there are changes, in parallel with the wait in progress. The answer is reported
+   * like those of the waits.
    *
    * @returns whether the store answered
    */
@@ -88,7 +88,7 @@
     return true;
   }
 
-  /** Ends after the call that is under way. */
+  /** Stops watching after the call in progress. */
   close(): void {
     this.closed = true;
   }
@@ -103,7 +103,7 @@
       return;
     }
     this.onSuccess();
-    // Pages of two eras make no listing.
+    // Pages from two eras are not a consistent listing.
     if (era !== undefined && era !== eras.current) return;
     this.era = eras.current;
     this.revision = listing.value.at;
@@ -119,19 +119,19 @@
     const jittered = Math.round(waitMs() * (0.75 + 0.5 * random.next()));
     const result = await store.watch(prefix, revision, jittered);
     if (result.isErr) {
-      // What happened meanwhile is not known, and another wait could be cut as well.
+      // Changes may have been missed, and another wait could be cut off as well: list again.
       this.revision = undefined;
       this.onFailure(result.error.detail);
       return;
     }
     this.onSuccess();
-    // In another era the revision says nothing: changes may lie below it.
+    // The revision has no meaning in another era: changes may have lower revisions.
     if (result.value.type === 'compacted' || this.era !== this.options.eras.current) {
       this.revision = undefined;
       return;
     }
-    // Without changes the revision stays, as a guard: an answer that was kept from hearing a change
-    // must not lead past it.
+    // Without changes the revision stays: if an answer missed a change, a higher revision would skip that
+    // change.
     if (result.value.events.length === 0) {
       this.options.onCurrent?.(askedAt);
       return;
--- a/src/sidecar/directory/record-publisher.test.ts
+++ b/src/sidecar/directory/record-publisher.test.ts
@@ -1,4 +1,4 @@
-/** The publisher with a scripted store. */
+/** Tests the publisher with a scripted store. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Result } from 'true-myth';
@@ -15,7 +15,7 @@
 import type { NodeRecord } from './node-record.js';
 import { RecordPublisher } from './record-publisher.js';
 
-type TransactionEnd = Result<TransactionResult, StoreFailure>;
+type TransactionOutcome = Result<TransactionResult, StoreFailure>;
 
 const READY: NodeRecord = {
   node: 'n',
@@ -28,13 +28,13 @@
 };
 const LEAVING: NodeRecord = { ...READY, target: 'leaving' };
 
-/** A store whose writes end when the test says so. */
+/** A store whose writes complete when the test completes them. */
 class HeldStore implements MetadataStore {
   readonly writes: {
     readonly target: string;
     readonly storeEra: number | undefined;
     readonly lease: string | undefined;
-    readonly end: (result: TransactionEnd) => void;
+    readonly end: (result: TransactionOutcome) => void;
   }[] = [];
   private leases = 0;
 
@@ -47,7 +47,7 @@
   watch(): ReturnType<MetadataStore['watch']> {
     return assert.fail('not used');
   }
-  transact({ puts }: StoreTransaction): Promise<TransactionEnd> {
+  transact({ puts }: StoreTransaction): Promise<TransactionOutcome> {
     const { value, lease } = puts[0]!;
     const { target, storeEra } = JSON.parse(value.toString()) as NodeRecord;
     return new Promise((end) => {
@@ -62,7 +62,7 @@
     return Promise.resolve(Result.ok(true));
   }
   close(): void {
-    // Holds nothing.
+    // Holds no resources.
   }
 }
 
@@ -70,7 +70,7 @@
   await new Promise((resolve) => setImmediate(resolve));
 }
 
-function committed(revision: number): TransactionEnd {
+function committed(revision: number): TransactionOutcome {
   return Result.ok({ type: 'committed', revision });
 }
 
@@ -96,7 +96,7 @@
   return { store, eras, clock, publisher };
 }
 
-test('a leave counts as stored only when its own write is acknowledged', async () => {
+test('a leaving record counts as stored only when its own write is acknowledged', async () => {
   const { store, publisher } = create();
   void publisher.publish(READY);
   await settle();
@@ -113,7 +113,7 @@
   assert.equal(stored, true);
 });
 
-test('a write without answer is tried again', async () => {
+test('retries a write without an answer', async () => {
   const { store, clock, publisher } = create();
   let stored = false;
   void publisher.publish(LEAVING).then(() => {
@@ -130,7 +130,7 @@
   assert.equal(stored, true);
 });
 
-test('records that were overtaken before they were written count with the newer one', async () => {
+test('a record that was superseded before its write counts as stored with the newer one', async () => {
   const { store, publisher } = create();
   const done: string[] = [];
   void publisher.publish(READY).then(() => done.push('first'));
@@ -146,7 +146,7 @@
   assert.deepEqual(done, ['first', 'second', 'third']);
 });
 
-test('in a new era of the store the record is written again, under a new lease', async () => {
+test('writes the record again under a new lease in a new era of the store', async () => {
   const { store, eras, clock, publisher } = create();
   eras.accept(1);
   void publisher.publish(LEAVING);
@@ -165,7 +165,7 @@
   );
 });
 
-test('a write whose answer is of a new era does not count, since the lease is of the earlier one', async () => {
+test('repeats a write that was answered in a new era, since its lease is of the earlier one', async () => {
   const { store, eras, publisher } = create();
   eras.accept(1);
   let stored = false;
--- a/src/sidecar/directory/record-publisher.ts
+++ b/src/sidecar/directory/record-publisher.ts
@@ -1,6 +1,6 @@
 /**
- * Writes this node's record into the store, under a lease and under the condition that the record
- * is the one that was last seen, so that a write of an earlier process that arrives late loses.
+ * Writes this node's record into the store, under a lease, and only if the stored record has the revision
+ * that was last seen: so a late write of an earlier process fails.
  */
 import { Event, type EventLog } from '../../kernel/event.js';
 import type { CancelTimer, Clock } from '../../kernel/clock.js';
@@ -9,42 +9,42 @@
 import type { StoreEras } from '../../store/store-eras.js';
 import { decodeNodeRecord, encodeNodeRecord, keyOfNode, type NodeRecord } from './node-record.js';
 
-/** Life of the lease; a node that is gone for good disappears from the store after it. */
+/** TTL of the lease, in milliseconds; the record of a node that has failed expires after it. */
 const LEASE_TTL_MS = 60_000;
 const RENEW_INTERVAL_MS = 20_000;
-const FIRST_PAUSE_MS = 100;
-const MAX_PAUSE_MS = 1_000;
+const FIRST_RETRY_PAUSE_MS = 100;
+const MAX_RETRY_PAUSE_MS = 1_000;
 /**
- * Longest pause before the record is written again in a new era of the store, in milliseconds: spreads the
- * writes of all nodes, and leaves a second and a half of the two in which records have to be back.
+ * Longest delay before the record is written again in a new era of the store, in milliseconds. The random
+ * delay spreads the writes of all nodes and leaves 1.5 s of the 2 s in which records have to be rewritten.
  */
-const MAX_ERA_PAUSE_MS = 500;
+const MAX_ERA_REWRITE_DELAY_MS = 500;
 
-/** What the publisher works with. */
+/** Settings and dependencies of a {@link RecordPublisher}. */
 export interface RecordPublisherOptions {
   readonly node: string;
   readonly store: MetadataStore;
   readonly eras: StoreEras;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Spreads the writes of nodes. */
+  /** Spreads the writes of the nodes in a new era. */
   readonly random: Random;
 }
 
 type Waiter = () => void;
 
-/** See the module comment. */
+/** Publishes the record of this node and keeps its lease. */
 export class RecordPublisher {
   private wanted: NodeRecord | undefined;
   private written: NodeRecord | undefined;
   private revision: number | undefined;
   private lease: string | undefined;
-  /** What an earlier process left, until the first write. */
+  /** Record that an earlier process left; undefined after the first write. */
   private previous: StoreItem | undefined;
   private running = false;
   private closed = false;
   private cancelRenewal: CancelTimer = () => {};
-  private pauseMs = FIRST_PAUSE_MS;
+  private retryPauseMs = FIRST_RETRY_PAUSE_MS;
   private readonly waiters: { readonly record: NodeRecord; readonly done: Waiter }[] = [];
 
   constructor(private readonly options: RecordPublisherOptions) {
@@ -53,14 +53,14 @@
     });
   }
 
-  /** Takes in the record that an earlier process left, as the first listing held it. */
+  /** Sets the record that an earlier process left, as found in the first listing, and decodes it. */
   takePrevious(item: StoreItem | undefined): NodeRecord | undefined {
     this.revision = item?.revision ?? 0;
     this.previous = item;
     return item && decodeNodeRecord(item.key, item.value);
   }
 
-  /** Publishes; resolves when the store has acknowledged this record or a later one. */
+  /** Publishes a record; resolves when the store has acknowledged this record or a later one. */
   publish(record: NodeRecord): Promise<void> {
     this.wanted = record;
     return new Promise((done) => {
@@ -69,43 +69,43 @@
     });
   }
 
-  /** The store may hold no record any more: reads it, and writes it again when that is so. */
+  /** Reads the stored record and writes it again if it is missing or different. */
   writeAgain(): void {
     if (this.wanted === undefined) return;
-    // What the store holds is not known, so that the next write reads first.
+    // The stored revision is not known: the next write reads it first.
     this.revision = undefined;
     this.written = undefined;
     void this.run();
   }
 
-  /** Whether a newer record than one of an earlier process may have been forgotten by the store. */
-  isForgettable({ storeEra }: NodeRecord): boolean {
+  /** Whether a record was written in another era: the store may have lost a newer one. */
+  isFromOtherEra({ storeEra }: NodeRecord): boolean {
     return storeEra !== this.options.eras.current;
   }
 
-  /** Starts to renew the lease. */
+  /** Starts renewing the lease. */
   start(): void {
     this.cancelRenewal = this.options.clock.schedule(RENEW_INTERVAL_MS, () => {
       void this.renew();
     });
   }
 
-  /** Ends all attempts. */
+  /** Stops writing and renewing. */
   close(): void {
     this.closed = true;
     this.cancelRenewal();
   }
 
   /**
-   * The revision may stand for another record now, and the lease may have been given to another node. A
-   * record that the store still holds is written again too, since what follows it is not known to be there.
+   * In a new era the revision may denote another record, and the lease may belong to another node. The record
+   * is written again even if the store still holds it, since newer records may have been lost.
    */
   private onEraChanged(): void {
     this.revision = undefined;
     this.lease = undefined;
     this.previous = undefined;
     this.written = undefined;
-    this.options.clock.schedule(MAX_ERA_PAUSE_MS * this.options.random.next(), () => {
+    this.options.clock.schedule(MAX_ERA_REWRITE_DELAY_MS * this.options.random.next(), () => {
       void this.run();
     });
   }
@@ -121,28 +121,25 @@
     const record = this.wanted!;
     const { current: era } = this.options.eras;
     const failure = await this.tryWrite(record);
-    // What was done in an earlier era has been forgotten, or was done with another's lease.
+    // The store may have lost a write of an earlier era, or the write used a lease that is now another node's.
     if (era !== undefined && era !== this.options.eras.current) return;
     if (failure === undefined) {
-      this.pauseMs = FIRST_PAUSE_MS;
+      this.retryPauseMs = FIRST_RETRY_PAUSE_MS;
       this.written = record;
       this.release(record);
       return;
     }
     this.report(failure);
-    await this.pause();
+    await this.pauseBeforeRetry();
   }
 
-  /** Ends the waits for this record and for those before it; newer ones are not stored yet. */
+  /** Resolves the promises for this record and for those before it; newer ones are not stored yet. */
   private release(record: NodeRecord): void {
     const last = this.waiters.findLastIndex((waiter) => waiter.record === record);
     for (const { done } of this.waiters.splice(0, last + 1)) done();
   }
 
-  /**
-   * A record that already says the same is kept with its lease: a write would cost every other
-   * node a call.
-   */
+  /** Keeps a stored record with equal content and its lease: a write would cost every other node a call. */
   private async adoptPrevious(record: NodeRecord): Promise<boolean> {
     const { previous } = this;
     this.previous = undefined;
@@ -159,7 +156,7 @@
     if (await this.adoptPrevious(record)) return undefined;
     const key = keyOfNode(this.options.node);
     if (this.revision === undefined) {
-      // What became of the last write is not known: the next condition needs a fresh reading.
+      // The outcome of the last write is unknown: read the revision for the condition again.
       const item = await store.read(key);
       if (item.isErr) return item.error;
       this.revision = item.value?.revision ?? 0;
@@ -205,9 +202,9 @@
     this.options.log.emit(Event.PlatformUnavailable, { operation: 'record', cause, detail });
   }
 
-  private pause(): Promise<void> {
-    const pauseMs = this.pauseMs;
-    this.pauseMs = Math.min(MAX_PAUSE_MS, pauseMs * 2);
+  private pauseBeforeRetry(): Promise<void> {
+    const pauseMs = this.retryPauseMs;
+    this.retryPauseMs = Math.min(MAX_RETRY_PAUSE_MS, pauseMs * 2);
     return new Promise((resolve) => {
       this.options.clock.schedule(pauseMs, resolve);
     });
--- a/src/sidecar/directory/registration-server.ts
+++ b/src/sidecar/directory/registration-server.ts
@@ -1,4 +1,4 @@
-/** The address at which the target beside this node registers. */
+/** HTTP server with which the local target registers. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { HttpListener } from '../http-listener.js';
 import type {
@@ -7,20 +7,20 @@
   UnreadableReport,
 } from '../platform-adapter.js';
 
-/** Largest report that is read, in bytes. */
+/** Largest accepted report, in bytes. */
 const MAX_BODY_BYTES = 4 * 1024;
 const OK = 200;
 
 /**
- * Takes one report.
+ * Handles one report.
  *
- * @returns the status of the answer: 200 once the report is acknowledged
+ * @returns the HTTP status: 200 when the report is acknowledged
  */
 export type RegistrationHandler = (
   message: RegistrationMessage | UnreadableReport,
 ) => Promise<number>;
 
-/** Creates the server; it does not listen yet. */
+/** Creates the server without starting to listen. */
 export function createRegistrationServer(
   adapter: PlatformAdapter,
   handle: RegistrationHandler,
@@ -30,7 +30,7 @@
   });
 }
 
-/** One call from its head to its answer. */
+/** One registration request, from its header to its response. */
 class RegistrationCall {
   constructor(
     private readonly adapter: PlatformAdapter,
@@ -49,7 +49,7 @@
       else chunks.push(chunk);
     });
     request.on('error', () => {
-      // The sender went away; it calls again.
+      // The sender disconnected; it sends the report again.
     });
     request.on('end', () => {
       void this.answer(Buffer.concat(chunks));
--- a/src/sidecar/directory/target-lifecycle.test.ts
+++ b/src/sidecar/directory/target-lifecycle.test.ts
@@ -1,4 +1,4 @@
-/** The lifecycle with a scripted target and a store that answers at once. */
+/** Tests the lifecycle with a scripted target and a store that answers at once. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ManualClock } from '../../kernel/clock.js';
@@ -34,21 +34,21 @@
   startedAt: 100,
 };
 
-/** A node that starts again; `previous` is what its earlier process left in the store. */
-class Scene {
+/** A restarted node; `previous` is the record that its earlier process left in the store. */
+class RestartedNode {
   readonly clock = new ManualClock();
   readonly registration = new TargetRegistration('s', '10.0.0.1:80');
   readonly lifecycle: TargetLifecycle;
   probes = 0;
 
-  /** @param heard called when the lifecycle waits for peers; absent: the record needs no peer */
+  /** @param onWaitForPeers called when the lifecycle waits for peers; absent: the record is of the current era */
   constructor(
     previous: NodeRecord | undefined,
     answers: readonly (string | undefined)[],
-    heard?: (lifecycle: TargetLifecycle) => void,
+    onWaitForPeers?: (lifecycle: TargetLifecycle) => void,
   ) {
     const publisher = {
-      isForgettable: () => heard !== undefined,
+      isFromOtherEra: () => onWaitForPeers !== undefined,
       takePrevious: () => previous,
       publish: () => Promise.resolve(),
     } as unknown as RecordPublisher;
@@ -64,7 +64,7 @@
         return Promise.resolve(answers[this.probes - 1]);
       },
       hearPeers: () => {
-        heard?.(this.lifecycle);
+        onWaitForPeers?.(this.lifecycle);
         return Promise.resolve();
       },
       onChanged: () => {},
@@ -81,62 +81,62 @@
   }
 }
 
-test('a target that still has its identity works on at once after a restart of its node', async () => {
-  const scene = new Scene(RECORD, [undefined, 'i-1']);
-  await scene.restore();
-  const { current } = scene.registration;
+test('a target that still has its identity is ready at once after a restart of its node', async () => {
+  const restarted = new RestartedNode(RECORD, [undefined, 'i-1']);
+  await restarted.restore();
+  const { current } = restarted.registration;
   assert.equal(current?.state, 'ready');
   assert.deepEqual([current.id, current.startedAt, current.slots], ['i-1', 100, 8]);
-  assert.equal(scene.probes, 2);
+  assert.equal(restarted.probes, 2);
 });
 
 const UNTRUSTED: readonly [string, NodeRecord | undefined, readonly (string | undefined)[]][] = [
   ['another target answers', RECORD, ['i-2']],
   ['nothing answers', RECORD, []],
-  ['an acknowledged leave', { ...RECORD, target: 'leaving' }, ['i-1']],
-  ['nothing was known', { ...RECORD, target: 'unknown', targetId: '' }, ['']],
+  ['a target whose leaving was acknowledged', { ...RECORD, target: 'leaving' }, ['i-1']],
+  ['no target was known', { ...RECORD, target: 'unknown', targetId: '' }, ['']],
   ['no record', undefined, ['i-1']],
 ];
 
 for (const [name, previous, answers] of UNTRUSTED) {
-  test(`a target is not taken for ready without its own report: ${name}`, async () => {
-    const scene = new Scene(previous, answers);
-    await scene.restore();
-    assert.equal(scene.registration.current, undefined);
+  test(`does not restore a target as ready without its own report: ${name}`, async () => {
+    const restarted = new RestartedNode(previous, answers);
+    await restarted.restore();
+    assert.equal(restarted.registration.current, undefined);
   });
 }
 
-test('the next report of a target that was taken for ready counts, and a leave ends it', async () => {
-  const scene = new Scene(RECORD, ['i-1']);
-  await scene.restore();
-  assert.equal(await scene.lifecycle.onReport(BEAT), 200);
+test('accepts the next report of a restored target, and then that it is leaving', async () => {
+  const restarted = new RestartedNode(RECORD, ['i-1']);
+  await restarted.restore();
+  assert.equal(await restarted.lifecycle.onReport(BEAT), 200);
   const leaving = { ...BEAT, sequence: 2, state: 'draining' } as const;
-  assert.equal(await scene.lifecycle.onReport(leaving), 200);
-  assert.equal(scene.registration.current?.state, 'leaving');
+  assert.equal(await restarted.lifecycle.onReport(leaving), 200);
+  assert.equal(restarted.registration.current?.state, 'leaving');
 });
 
-test('a report that comes first goes before the record', async () => {
-  const scene = new Scene(RECORD, [undefined, 'i-1']);
-  const restored = scene.restore();
-  await scene.lifecycle.onReport({ ...BEAT, startedAt: 200, slots: 4 });
+test('a report that arrives first takes precedence over the record', async () => {
+  const restarted = new RestartedNode(RECORD, [undefined, 'i-1']);
+  const restored = restarted.restore();
+  await restarted.lifecycle.onReport({ ...BEAT, startedAt: 200, slots: 4 });
   await restored;
-  assert.equal(scene.registration.current?.startedAt, 200);
-  assert.equal(scene.registration.current.slots, 4);
+  assert.equal(restarted.registration.current?.startedAt, 200);
+  assert.equal(restarted.registration.current.slots, 4);
 });
 
-test('a leave that peers remember ends the work of a target whose record is of an earlier era', async () => {
-  const scene = new Scene(RECORD, ['i-1'], (lifecycle) => {
+test('a target with a record of an earlier era is not ready when peers report that it has left', async () => {
+  const restarted = new RestartedNode(RECORD, ['i-1'], (lifecycle) => {
     lifecycle.onLeftBefore('i-1 100');
   });
-  await scene.restore();
-  const states = [scene.registration.current?.state];
-  await scene.lifecycle.onReport(BEAT);
-  states.push(scene.registration.current?.state);
-  assert.ok(!states.includes('ready'), 'neither by the record nor by a late report');
+  await restarted.restore();
+  const states = [restarted.registration.current?.state];
+  await restarted.lifecycle.onReport(BEAT);
+  states.push(restarted.registration.current?.state);
+  assert.ok(!states.includes('ready'), 'restored neither from the record nor by a late report');
 });
 
-test('a target of which peers remember no leave works on', async () => {
-  const scene = new Scene(RECORD, ['i-1'], () => {});
-  await scene.restore();
-  assert.equal(scene.registration.current?.state, 'ready');
+test('a target is restored as ready when peers do not report that it has left', async () => {
+  const restarted = new RestartedNode(RECORD, ['i-1'], () => {});
+  await restarted.restore();
+  assert.equal(restarted.registration.current?.state, 'ready');
 });
--- a/src/sidecar/directory/target-lifecycle.ts
+++ b/src/sidecar/directory/target-lifecycle.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps what is known of the target beside this node: takes its reports, asks it for its identity
- * where a report alone is not enough, and acknowledges a leave only after the store holds it, so
- * that no later process of this node can forget it.
+ * Tracks the state of the local target. Handles the target's reports and probes its identity where a report
+ * alone is not enough. Acknowledges that the target leaves only after the store holds this, so that a later
+ * process of this node knows it too.
  */
 import type { Clock } from '../../kernel/clock.js';
 import { pause } from '../../kernel/pause.js';
@@ -24,73 +24,76 @@
 const CONFLICT = 409;
 const UNAVAILABLE = 503;
 
-/** Wait for the store before a leave stays without acknowledgement; senders wait a second. */
-const ACKNOWLEDGE_WITHIN_MS = 900;
+/**
+ * Longest wait for the store before the report of a leaving target is answered with 503, in milliseconds.
+ * Senders wait 1 s.
+ */
+const ACKNOWLEDGE_TIMEOUT_MS = 900;
 const PROBE_TIMEOUT_MS = 500;
-/** Pause between questions to a target that a restarted node knows from its record. */
+/** Pause between probes of a target that a restarted node knows from its record. */
 const PROBE_PAUSE_MS = 50;
-/** By then its own reports have come, in milliseconds. */
-const RESTORE_WITHIN_MS = 1_500;
+/** Time limit of these probes, in milliseconds; after it the target has sent its own reports. */
+const RESTORE_TIMEOUT_MS = 1_500;
 
-/** What the lifecycle works with. */
+/** Dependencies and callbacks of a {@link TargetLifecycle}. */
 export interface TargetLifecycleOptions {
   readonly registration: TargetRegistration;
   readonly publisher: RecordPublisher;
   readonly clock: Clock;
   readonly log: EventLog;
   /**
-   * The record that an earlier process of this node left. It comes from the listing of all records, which
-   * is read anyway: a call less for each start.
+   * Reads the record that an earlier process of this node left. It comes from the listing of all records,
+   * which is read anyway; this saves one call for each start.
    */
   readPrevious(): Promise<StoreItem | undefined>;
-  /** This node's record as it is now. */
+  /** Returns this node's current record. */
   record(): NodeRecord;
-  /** Asks the target itself for its identity; undefined without a good answer. */
+  /** Requests the identity from the target itself; undefined without a valid answer. */
   probe(timeoutMs: number): Promise<string | undefined>;
-  /** Resolves when peers have had time to tell what they remember of this node. */
+  /** Resolves when peers have had time to report what they know of this node. */
   hearPeers(): Promise<void>;
-  /** What is known has changed. */
+  /** Called when the known target or its state has changed. */
   onChanged(target: RegisteredTarget | undefined): void;
 }
 
-/** See the module comment. */
+/** Tracks the registration of the local target and publishes each change. */
 export class TargetLifecycle {
   private known: RegisteredTarget | undefined;
-  /** The record that an earlier process left has been read. */
+  /** Whether the record that an earlier process left has been read. */
   private restored = false;
   private publishing: Promise<void> = Promise.resolve();
 
   constructor(private readonly options: TargetLifecycleOptions) {}
 
-  /** Reads what an earlier process of this node left; reports wait for it. */
+  /** Restores the state from the record of an earlier process; reports take effect only after it was read. */
   async restore(): Promise<void> {
     const { publisher, registration } = this.options;
     const previous = publisher.takePrevious(await this.options.readPrevious());
     if (previous?.target === 'leaving') registration.restoreLeft(targetOf(previous));
     this.restored = true;
-    this.afterReport();
+    this.publishIfChanged();
     if (previous?.target === 'ready') await this.restoreReady(previous);
   }
 
   /**
-   * A target whose node alone was restarted works on. Waiting for its next report would keep it without
-   * work for longer than the node's start takes.
+   * Restores a target that kept running while only its node restarted. Without this it would get no requests
+   * until its next report, which takes longer than the start of the node.
    */
   private async restoreReady(previous: NodeRecord): Promise<void> {
     const { registration, clock, publisher, hearPeers } = this.options;
     if (previous.targetSlots === undefined) return;
-    // The store may have forgotten a leave that was acknowledged after this record; peers have not.
-    if (publisher.isForgettable(previous)) await hearPeers();
+    // The store may have lost the leaving state acknowledged after this record; peers still know it.
+    if (publisher.isFromOtherEra(previous)) await hearPeers();
     const found = await this.probeUntilAnswered();
     if (found !== previous.targetId || registration.current !== undefined) return;
     registration.restoreReady(clock.now(), targetOf(previous), previous.targetSlots);
-    this.afterReport();
+    this.publishIfChanged();
   }
 
-  /** The health path is known only once rules are in force. */
+  /** Probes until the target answers: its health path is known only once rules are in force. */
   private async probeUntilAnswered(): Promise<string | undefined> {
     const { probe, registration, clock } = this.options;
-    const end = clock.now() + RESTORE_WITHIN_MS;
+    const end = clock.now() + RESTORE_TIMEOUT_MS;
     while (registration.current === undefined && clock.now() < end) {
       const found = await probe(PROBE_TIMEOUT_MS);
       if (found !== undefined) return found;
@@ -99,7 +102,7 @@
     return undefined;
   }
 
-  /** Takes one report; resolves with the status of its answer. */
+  /** Handles one report; resolves with the HTTP status of the answer. */
   async onReport(message: RegistrationMessage | UnreadableReport): Promise<number> {
     if (message.type === 'unreadable') {
       const { type: verdict, reason } = message;
@@ -111,28 +114,28 @@
       this.options.log.emit(Event.TargetReportRejected, { target: message.targetId, verdict });
       return CONFLICT;
     }
-    this.afterReport();
+    this.publishIfChanged();
     const leaves = message.type === 'departure' || message.state === 'draining';
     if (!leaves || verdict === 'outdated') return OK;
     return (await this.isStored()) ? OK : UNAVAILABLE;
   }
 
-  /** The target answered as another incarnation than the one registered. */
+  /** Called when the target answered with another identity than the registered one. */
   onIdentityMismatch(targetId: string): void {
-    this.options.registration.forget(targetId);
-    this.afterReport();
+    this.options.registration.discard(targetId);
+    this.publishIfChanged();
   }
 
-  /** A peer remembers that the target has left in this life. */
+  /** Called when a peer reports that this incarnation of the target has left. */
   onLeftBefore(incarnation: string): void {
     this.options.registration.restoreLeft(parseIncarnation(incarnation));
-    this.afterReport();
+    this.publishIfChanged();
   }
 
   private async judge(message: RegistrationMessage): Promise<Verdict> {
     const { registration, clock, probe } = this.options;
     if (message.type === 'departure') return registration.onDeparture(message);
-    // Reports come late and from others: while nothing is known, the target itself is asked.
+    // Reports may be late or come from other senders: while no target is known, the target itself is probed.
     const isFirst = registration.current === undefined;
     if (!isFirst) {
       const verdict = registration.onHeartbeat(clock.now(), message, false);
@@ -144,7 +147,7 @@
     return registration.onHeartbeat(clock.now(), message, confirmed);
   }
 
-  private afterReport(): void {
+  private publishIfChanged(): void {
     const { registration, log, publisher, onChanged, record } = this.options;
     const { current } = registration;
     const same = isSameTarget(current, this.known);
@@ -157,7 +160,7 @@
 
   private isStored(): Promise<boolean> {
     return new Promise((resolve) => {
-      const cancel = this.options.clock.schedule(ACKNOWLEDGE_WITHIN_MS, () => {
+      const cancel = this.options.clock.schedule(ACKNOWLEDGE_TIMEOUT_MS, () => {
         resolve(false);
       });
       void this.publishing.then(() => {
@@ -172,7 +175,7 @@
   return startedAt === undefined ? { id } : { id, startedAt };
 }
 
-/** Whether nothing that others are told has changed. */
+/** Whether two targets are equal in all that other nodes are told. */
 function isSameTarget(
   one: RegisteredTarget | undefined,
   other: RegisteredTarget | undefined,
--- a/src/sidecar/directory/target-registration.test.ts
+++ b/src/sidecar/directory/target-registration.test.ts
@@ -28,7 +28,7 @@
   return new TargetRegistration('guide', ADDRESS);
 }
 
-test('the first report of a target is taken in', () => {
+test('accepts the first report of a target', () => {
   const registration = create();
   assert.equal(registration.onHeartbeat(0, beat({ warmUpMs: 500 }), false), 'accepted');
   const expected = { id: 'i-1', state: 'ready', slots: 8, warmUntil: 500 };
@@ -49,7 +49,7 @@
   assert.equal(registration.current?.slots, 8);
 });
 
-test('a leave is final for its incarnation, in whatever order reports come', () => {
+test('leaving is final for an incarnation, in whatever order reports arrive', () => {
   const registration = create();
   registration.onHeartbeat(0, beat({ sequence: 9 }), false);
   registration.onHeartbeat(1, beat({ sequence: 7, state: 'draining' }), false);
@@ -58,7 +58,7 @@
   assert.equal(registration.current?.state, 'leaving');
 });
 
-test('a departure without draining ends the work', () => {
+test('a target that departs without draining is leaving', () => {
   const registration = create();
   registration.onHeartbeat(0, beat(), false);
   assert.equal(registration.onDeparture(departure('i-1')), 'accepted');
@@ -66,7 +66,7 @@
   assert.equal(registration.onDeparture(departure('i-9')), 'foreign');
 });
 
-test('another incarnation counts once it is confirmed, and its predecessor never again', () => {
+test('accepts another incarnation once it is confirmed, and then never its predecessor', () => {
   const registration = create();
   registration.onHeartbeat(0, beat(), false);
   const next = beat({ targetId: 'i-2' });
@@ -77,7 +77,7 @@
   assert.equal(registration.current?.id, 'i-2');
 });
 
-test('a leave that an earlier process acknowledged holds for a late report', () => {
+test('rejects a late report of a target whose leaving an earlier process acknowledged', () => {
   const registration = create();
   registration.restoreLeft({ id: 'i-1' });
   assert.equal(registration.onHeartbeat(0, beat({ sequence: 3 }), false), 'outdated');
@@ -85,16 +85,16 @@
   assert.equal(registration.onHeartbeat(1, beat({ targetId: 'i-2' }), false), 'accepted');
 });
 
-test('a target that answered as another one is forgotten until it reports', () => {
+test('discards a target that answered with another id until it reports', () => {
   const registration = create();
   registration.onHeartbeat(0, beat(), false);
-  registration.forget('i-1');
+  registration.discard('i-1');
   assert.equal(registration.current, undefined);
   assert.equal(registration.onHeartbeat(1, beat({ sequence: 2 }), false), 'outdated');
   assert.equal(registration.onHeartbeat(2, beat({ targetId: 'i-2' }), false), 'accepted');
 });
 
-test('a target that starts again under its id is new: its counts begin anew', () => {
+test('a target that restarts under its id is a new incarnation with a new sequence', () => {
   const registration = create();
   registration.onHeartbeat(0, beat({ startedAt: 100, sequence: 50, slots: 8 }), false);
   const again = beat({ startedAt: 200, sequence: 1, slots: 4, warmUpMs: 300 });
@@ -108,7 +108,7 @@
   );
 });
 
-test('a late report or departure of the earlier life changes nothing', () => {
+test('a late report or departure of the earlier incarnation changes nothing', () => {
   const registration = create();
   registration.onHeartbeat(0, beat({ startedAt: 100 }), false);
   registration.onHeartbeat(1, beat({ startedAt: 200 }), false);
@@ -120,7 +120,7 @@
   assert.equal(registration.current.state, 'leaving');
 });
 
-test('a leave binds the life that it was said of, and no later one', () => {
+test('leaving holds for its own incarnation and not for a later one', () => {
   const registration = create();
   registration.onHeartbeat(0, beat({ startedAt: 100 }), false);
   registration.onHeartbeat(1, beat({ startedAt: 100, sequence: 2, state: 'draining' }), false);
@@ -133,7 +133,7 @@
   assert.equal(registration.current.state, 'ready');
 });
 
-test('a leave of a life that an earlier process acknowledged lets the next life serve', () => {
+test('accepts the next incarnation after an earlier process acknowledged that one left', () => {
   const registration = create();
   registration.restoreLeft({ id: 'i-1', startedAt: 100 });
   assert.equal(registration.onHeartbeat(0, beat({ startedAt: 100 }), false), 'outdated');
@@ -141,7 +141,7 @@
   assert.equal(registration.current?.state, 'ready');
 });
 
-test('a report without a start is of another writer where the target tells its start', () => {
+test('a report without a start time is foreign where the target reports its start time', () => {
   const registration = create();
   registration.onHeartbeat(0, beat({ startedAt: 100 }), false);
   const odd = beat({ sequence: 9, state: 'draining' });
--- a/src/sidecar/directory/target-registration.ts
+++ b/src/sidecar/directory/target-registration.ts
@@ -1,80 +1,79 @@
 /**
- * What a node believes of the target beside it, from the target's own reports. Pure: reports in,
- * verdicts out. Reports may come late, out of order, from an earlier incarnation, or from
- * something that is not the target.
+ * State of the local target, derived from the target's own reports without side effects. Reports may arrive
+ * late, out of order, from an earlier incarnation, or from a sender that is not the target.
  */
 import type { Departure, Heartbeat } from '../platform-adapter.js';
 import type { TargetState } from '../link/link-messages.js';
 
 /**
- * One life of a target. It may start again under its id: then its start tells the lives apart, and
- * without a start the id alone does.
+ * One incarnation of a target. A target may restart under the same id; then the start time distinguishes the
+ * incarnations. Without a start time the id alone identifies one.
  */
 export interface Incarnation {
   readonly id: string;
-  /** Unix milliseconds by the target's clock; absent where targets don't tell. */
+  /** Start in Unix milliseconds by the target's clock; absent where targets don't report it. */
   readonly startedAt?: number;
 }
 
-/** The target as last reported. */
+/** The target and its last reported state. */
 export interface RegisteredTarget extends Incarnation {
   readonly state: Exclude<TargetState, 'unknown'>;
   readonly slots: number;
-  /** Monotonic time until which the target is slow from its start. */
+  /** Monotonic time until which the target is warming up. */
   readonly warmUntil: number;
 }
 
-/** What becomes of a report. */
+/** Result of the check of a report. */
 export type Verdict =
-  /** Taken in; the target is as `current` says. */
+  /** Applied; `current` returns the new state. */
   | 'accepted'
-  /** Overtaken by a newer report; it says nothing. */
+  /** Superseded by a newer report or incarnation. Only `draining` still takes effect, since it is final. */
   | 'outdated'
-  /** Names another target than the one beside this node. */
+  /** Does not come from the local target. */
   | 'foreign'
-  /** Another incarnation than the one known; to be confirmed before it counts. */
+  /** From another incarnation than the known one; must be confirmed before it is applied. */
   | 'unconfirmed';
 
-/** Most incarnations that are remembered as gone. */
-const MAX_GONE = 64;
+/** Most ids for which gone incarnations are recorded. */
+const MAX_GONE_INCARNATIONS = 64;
 
-/** See the module comment. */
+/** Checks reports of the local target and holds the state that they give. */
 export class TargetRegistration {
   private target: RegisteredTarget | undefined;
   private sequence = -Infinity;
-  /** Newest life that is gone, by id; undefined: every life of the id. */
+  /** Start of the newest incarnation that is gone, by id; undefined: every incarnation of the id is gone. */
   private readonly gone = new Map<string, number | undefined>();
 
   /**
-   * @param service service of the target beside this node
-   * @param address address of the target beside this node
+   * @param service service of the local target
+   * @param address address of the local target
    */
   constructor(
     private readonly service: string,
     private readonly address: string,
   ) {}
 
-  /** The target as known now. */
+  /** The target and its current state; undefined while it is not known. */
   get current(): RegisteredTarget | undefined {
     return this.target;
   }
 
-  /** An earlier process of this node acknowledged that this incarnation leaves. */
+  /** Restores that this incarnation has left, as an earlier process of this node or a peer recorded. */
   restoreLeft(left: Incarnation): void {
     this.markGone(left);
     if (this.target !== undefined && isSameIncarnation(this.target, left)) this.setLeaving();
   }
 
   /**
-   * An earlier process of this node knew this incarnation as ready, and the target still says that
-   * it has this id. Reports that have come meanwhile go first.
+   * Restores an incarnation that an earlier process of this node knew as ready and whose target still answers
+   * with this id. Reports received in the meantime take precedence.
    */
   restoreReady(now: number, ready: Incarnation, slots: number): void {
     if (this.target !== undefined || this.isGone(ready)) return;
     this.target = { ...ready, state: 'ready', slots, warmUntil: now };
   }
 
-  /** @param confirmed the target itself has said that it has this id */
+  /** @param confirmed whether the target itself has answered with this id */
   onHeartbeat(now: number, heartbeat: Heartbeat, confirmed: boolean): Verdict {
     if (heartbeat.service !== this.service || heartbeat.address !== this.address) return 'foreign';
     const reported = toIncarnation(heartbeat);
@@ -85,15 +84,15 @@
       if (isEarlier(reported, target)) return 'outdated';
     }
     if (this.isGone(reported)) return 'outdated';
-    // The target itself tells its id only, so that another life of one id needs no confirmation.
+    // A probe returns only the id, so it cannot confirm another incarnation of the same id.
     if (target !== undefined && target.id !== reported.id && !confirmed) return 'unconfirmed';
     if (target !== undefined) this.markGone(target);
     this.sequence = heartbeat.sequence;
-    this.take(now, heartbeat);
+    this.setFromHeartbeat(now, heartbeat);
     return 'accepted';
   }
 
-  /** The target leaves without having drained, or ends after it. */
+  /** Applies a departure: the target leaves without having drained, or stops after draining. */
   onDeparture({ targetId, startedAt }: Departure): Verdict {
     const left = { id: targetId, ...(startedAt === undefined ? {} : { startedAt }) };
     const { target } = this;
@@ -104,8 +103,8 @@
     return 'accepted';
   }
 
-  /** The target answered as another incarnation; nothing is known until it reports. */
-  forget(targetId: string): void {
+  /** Discards the target after it answered with another id; it is unknown until its next report. */
+  discard(targetId: string): void {
     if (this.target?.id !== targetId) return;
     this.markGone(this.target);
     this.target = undefined;
@@ -114,15 +113,15 @@
 
   private onKnown(now: number, heartbeat: Heartbeat): Verdict {
     const { state, sequence } = heartbeat;
-    // Draining is final for an incarnation, in whatever order its reports come.
+    // Draining is final for an incarnation, in whatever order its reports arrive.
     if (state === 'draining') this.setLeaving();
     if (sequence <= this.sequence) return 'outdated';
     this.sequence = sequence;
-    if (this.target?.state === 'ready') this.take(now, heartbeat);
+    if (this.target?.state === 'ready') this.setFromHeartbeat(now, heartbeat);
     return 'accepted';
   }
 
-  private take(now: number, heartbeat: Heartbeat): void {
+  private setFromHeartbeat(now: number, heartbeat: Heartbeat): void {
     const { slots, state, warmUpMs } = heartbeat;
     const incarnation = toIncarnation(heartbeat);
     const known = state === 'ready' && !this.isGone(incarnation) ? 'ready' : 'leaving';
@@ -145,23 +144,22 @@
     if (this.isGone({ id, ...(startedAt === undefined ? {} : { startedAt }) })) return;
     this.gone.delete(id);
     this.gone.set(id, startedAt);
-    if (this.gone.size <= MAX_GONE) return;
+    if (this.gone.size <= MAX_GONE_INCARNATIONS) return;
     const [oldest] = this.gone.keys();
     this.gone.delete(oldest!);
   }
 }
 
-/** Whether two are one life. */
 export function isSameIncarnation(one: Incarnation, other: Incarnation): boolean {
   return one.id === other.id && one.startedAt === other.startedAt;
 }
 
-/** A text that differs from life to life. */
+/** Formats an incarnation as a text that differs between incarnations. */
 export function incarnationText({ id, startedAt }: Incarnation): string {
   return startedAt === undefined ? id : `${id} ${startedAt}`;
 }
 
-/** Reads what {@link incarnationText} has written. */
+/** Parses a text of {@link incarnationText}. */
 export function parseIncarnation(text: string): Incarnation {
   const [id = '', startedAt] = text.split(' ');
   return startedAt === undefined ? { id } : { id, startedAt: Number(startedAt) };
@@ -171,7 +169,7 @@
   return { id: targetId, ...(startedAt === undefined ? {} : { startedAt }) };
 }
 
-/** A target that tells its start tells it in all reports. */
+/** Whether a report lacks the start time, which a target reports either always or never. */
 function isFromAnotherWriter(target: Incarnation, reported: Incarnation): boolean {
   return target.startedAt !== undefined && reported.startedAt === undefined;
 }
--- a/src/sidecar/directory/watch-timing.test.ts
+++ b/src/sidecar/directory/watch-timing.test.ts
@@ -2,18 +2,18 @@
 import { test } from 'node:test';
 import { gatherRecordsMs, waitForChangesMs } from './watch-timing.js';
 
-/** Longest wait that the store grants, and the largest factor by which waits are spread. */
+/** Longest wait that the store grants, and the largest ratio of a wait to its mean. */
 const STORE_LIMIT_MS = 30_000;
 const SPREAD = 1.25;
 
-test('a small fleet waits for as long as before', () => {
+test('a small fleet uses the minimum wait and the minimum pause', () => {
   for (const nodes of [1, 14, 17, 40]) {
     assert.equal(waitForChangesMs(nodes, 5_000), 5_000);
     assert.equal(gatherRecordsMs(nodes), 1_000);
   }
 });
 
-test('waits grow with the fleet, up to what the store grants', () => {
+test('waits grow with the fleet, up to the limit of the store', () => {
   assert.equal(waitForChangesMs(80, 5_000), 10_000);
   for (const nodes of [195, 1_000]) {
     assert.ok(waitForChangesMs(nodes, 5_000) * SPREAD < STORE_LIMIT_MS);
@@ -21,7 +21,7 @@
   }
 });
 
-test('a record is heard of within three seconds in any fleet', () => {
+test('a changed record is received within three seconds in any fleet', () => {
   assert.equal(gatherRecordsMs(100), 1_500);
   assert.equal(gatherRecordsMs(1_000), 3_000);
 });
--- a/src/sidecar/directory/watch-timing.ts
+++ b/src/sidecar/directory/watch-timing.ts
@@ -1,26 +1,25 @@
 /**
- * How often a node asks the store, by the number of nodes: what each node asks for, the store is asked
- * once by every node, and each change of a record ends the wait of all of them.
+ * Limits how often a node calls the store, by the number of nodes: the store serves each kind of call once
+ * for every node, and each change of a record ends the waits of all nodes.
  */
 
-/** Calls at rest that all nodes of a fleet make together for one prefix, a second. */
+/** Calls per second that all nodes of a fleet together make for one prefix while nothing changes. */
 const FLEET_CALLS_PER_SECOND = 8;
-/** The store waits at most 30 s for changes, and waits are spread by a quarter around their mean. */
+/** The store waits at most 30 s for changes, and a wait differs from its mean by up to a quarter. */
 const MAX_WAIT_MS = 23_000;
-/** Time by which records may be gathered for each node of the fleet, in milliseconds. */
-const GATHER_MS_PER_NODE = 15;
-const MIN_GATHER_MS = 1_000;
+/** Pause in which changes of records are batched, for each node of the fleet, in milliseconds. */
+const BATCH_PAUSE_MS_PER_NODE = 15;
+const MIN_BATCH_PAUSE_MS = 1_000;
 /**
- * A target that joins is unknown to others for so long at most; what is urgent (a leave, a loss) is told
- * by links.
+ * Other nodes learn of a joining target at most this late. Urgent changes (a target that leaves or is lost)
+ * are reported over links.
  */
-const MAX_GATHER_MS = 3_000;
+const MAX_BATCH_PAUSE_MS = 3_000;
 const MS_PER_SECOND = 1_000;
 
 /**
- * Wait of one call for changes, in milliseconds. A wait that hears nothing for good, since its
- * connection has fallen silent, is noticed at its end only; in a large fleet others tell of new rules
- * meanwhile.
+ * Wait of one call for changes, in milliseconds. If the connection of a call has become unresponsive, this is
+ * noticed only at the end of the wait; in a large fleet other nodes report new rules in the meantime.
  *
  * @param minMs wait in a small fleet
  */
@@ -30,9 +29,12 @@
 }
 
 /**
- * Pause after changes of records, so that those that follow come with one call, in milliseconds: while a
- * fleet starts, a node makes a call for each pause.
+ * Pause after changes of records, in milliseconds, so that one call returns all changes that follow. While a
+ * fleet starts, a node makes one call for each pause.
  */
 export function gatherRecordsMs(nodes: number): number {
-  return Math.min(MAX_GATHER_MS, Math.max(MIN_GATHER_MS, nodes * GATHER_MS_PER_NODE));
+  return Math.min(
+    MAX_BATCH_PAUSE_MS,
+    Math.max(MIN_BATCH_PAUSE_MS, nodes * BATCH_PAUSE_MS_PER_NODE),
+  );
 }
