--- a/src/sidecar/rules/active-rules.ts
+++ b/src/sidecar/rules/active-rules.ts
@@ -1,6 +1,6 @@
 /**
- * The routing rules in force. They come from the store and, while it is away, from other nodes;
- * within one life of the process the version only rises.
+ * The routing rules in force. They come from the store and, while it is unavailable, from other nodes. The
+ * version never decreases while the process runs.
  */
 import type { Result } from 'true-myth';
 import type { Failure } from '../../core/failure.js';
@@ -8,7 +8,7 @@
 import { RouteTable } from './route-table.js';
 import { checkRules, type RoutingRules } from './routing-rules.js';
 
-/** What the rules in force work with. */
+/** Dependencies and callbacks of {@link ActiveRules}. */
 export interface ActiveRulesOptions {
   readonly log: EventLog;
   parse(document: Buffer): Result<RoutingRules, Failure>;
@@ -16,19 +16,19 @@
   onChanged(rules: RoutingRules): void;
 }
 
-/** See the module comment. */
+/** Holds the newest valid rules that this node has received. */
 export class ActiveRules {
   private current: RouteTable | undefined;
   private currentDocument: Buffer | undefined;
 
   constructor(private readonly options: ActiveRulesOptions) {}
 
-  /** Routes in force; undefined until there are rules. */
+  /** Routes in force; undefined until rules are received. */
   get table(): RouteTable | undefined {
     return this.current;
   }
 
-  /** Version in force; 0 until there are rules. */
+  /** Version in force; 0 until rules are received. */
   get version(): number {
     return this.current?.rules.version ?? 0;
   }
@@ -39,10 +39,10 @@
   }
 
   /**
-   * Takes a document in if it is newer than the one in force and can be read as a whole.
+   * Puts a document into force if it is valid and newer than the one in force.
    *
-   * @param source where it came from, for the log
-   * @returns its version; undefined when it cannot be read
+   * @param source origin of the document, for the log
+   * @returns the version of the document; undefined when it is invalid
    */
   offer(document: Buffer, source: string): number | undefined {
     const rules = this.options.parse(document).andThen(checkRules);
--- a/src/sidecar/rules/freshness-refresher.test.ts
+++ b/src/sidecar/rules/freshness-refresher.test.ts
@@ -8,18 +8,18 @@
 let clock: ManualClock;
 let freshness: RulesFreshness;
 let needed: boolean;
-let available: boolean;
-let answers: boolean;
-let storeQuestions: number;
-let peerQuestions: number;
+let storeAvailable: boolean;
+let storeAnswers: boolean;
+let storeQueries: number;
+let peerQueries: number;
 let peersReached: number;
 let peerAgeMs: number | undefined;
 let refresher: FreshnessRefresher;
 
 beforeEach(() => {
   clock = new ManualClock();
-  [needed, available, answers] = [true, true, true];
-  [storeQuestions, peerQuestions, peersReached, peerAgeMs] = [0, 0, 0, undefined];
+  [needed, storeAvailable, storeAnswers] = [true, true, true];
+  [storeQueries, peerQueries, peersReached, peerAgeMs] = [0, 0, 0, undefined];
   const [log, maxAgeMs, rulesVersion] = [silentEventLog, () => 4_700, () => 1];
   freshness = new RulesFreshness({ clock, log, maxAgeMs, rulesVersion });
   refresher = new FreshnessRefresher({
@@ -27,14 +27,14 @@
     freshness,
     place: 0.5,
     isNeeded: () => needed,
-    isStoreAvailable: () => available,
+    isStoreAvailable: () => storeAvailable,
     askStore: () => {
-      storeQuestions += 1;
-      if (answers) freshness.confirm(1, clock.bootNow());
-      return Promise.resolve(answers);
+      storeQueries += 1;
+      if (storeAnswers) freshness.confirm(1, clock.bootNow());
+      return Promise.resolve(storeAnswers);
     },
     askPeers: () => {
-      peerQuestions += 1;
+      peerQueries += 1;
       if (peerAgeMs !== undefined) {
         freshness.confirmByPeer({ version: 1, ageMs: peerAgeMs }, clock.bootNow());
       }
@@ -52,60 +52,60 @@
   }
 }
 
-test('rules without tenants are confirmed by nobody', async () => {
+test('does not refresh when the rules need no confirmation', async () => {
   needed = false;
   refresher.wake();
   await pass(10_000);
-  assert.equal(storeQuestions, 0);
+  assert.equal(storeQueries, 0);
 });
 
-test('the store is asked before the confirmation is too old', async () => {
+test('asks the store before the confirmation is too old', async () => {
   refresher.wake();
   await pass(14_000);
-  assert.ok(storeQuestions >= 9 && storeQuestions <= 11, `${storeQuestions}`);
+  assert.ok(storeQueries >= 9 && storeQueries <= 11, `${storeQueries}`);
   assert.ok(freshness.ageMs() <= 1_500);
 });
 
-test('a node that other nodes serve does not ask the store', async () => {
+test('does not ask the store while other nodes send newer confirmations', async () => {
   refresher.wake();
   await pass(100);
   for (let count = 0; count < 20; count += 1) {
     await pass(500);
     freshness.confirmByPeer({ version: 1, ageMs: 200 }, clock.bootNow());
   }
-  assert.equal(storeQuestions, 1);
+  assert.equal(storeQueries, 1);
 });
 
-test('an idle node asks as seldom as it can and still has keys that count', async () => {
+test('an idle node refreshes as rarely as it can while keys remain accepted', async () => {
   refresher.wake();
   await pass(20_000, false);
-  assert.ok(storeQuestions >= 5 && storeQuestions <= 7, `${storeQuestions}`);
+  assert.ok(storeQueries >= 5 && storeQueries <= 7, `${storeQueries}`);
   assert.ok(freshness.ageMs() < 4_700);
 });
 
-test('other nodes are asked before the store, which is asked only when they know nothing newer', async () => {
+test('asks other nodes first, and the store only when they know no newer confirmation', async () => {
   peersReached = 3;
   refresher.wake();
   await pass(1_000);
-  assert.equal(storeQuestions, 1);
+  assert.equal(storeQueries, 1);
   peerAgeMs = 200;
   await pass(10_000);
-  assert.equal(storeQuestions, 1);
-  assert.ok(peerQuestions >= 6, `${peerQuestions}`);
+  assert.equal(storeQueries, 1);
+  assert.ok(peerQueries >= 6, `${peerQueries}`);
   peerAgeMs = 1_600;
   await pass(3_000);
-  assert.ok(storeQuestions >= 2, 'what they know is too old');
+  assert.ok(storeQueries >= 2, 'the confirmation of the other nodes is too old');
 });
 
-test('a node that the store does not answer asks other nodes', async () => {
-  answers = false;
+test('asks other nodes again while the store does not answer', async () => {
+  storeAnswers = false;
   refresher.wake();
   peersReached = 3;
   await pass(1_000);
-  assert.ok(peerQuestions >= 2, `${peerQuestions}`);
-  available = false;
-  const asked = storeQuestions;
+  assert.ok(peerQueries >= 2, `${peerQueries}`);
+  storeAvailable = false;
+  const queriesBefore = storeQueries;
   await pass(1_000);
-  assert.equal(storeQuestions, asked, 'a store that is known to be away is not asked here');
-  assert.ok(peerQuestions >= 4, `${peerQuestions}`);
+  assert.equal(storeQueries, queriesBefore, 'an unavailable store is not asked');
+  assert.ok(peerQueries >= 4, `${peerQueries}`);
 });
--- a/src/sidecar/rules/freshness-refresher.ts
+++ b/src/sidecar/rules/freshness-refresher.ts
@@ -1,59 +1,59 @@
 /**
- * Has the rules confirmed again before API keys stop to count. Answers to calls confirm them as well. A node
- * asks other nodes first, and the store only when they know nothing newer: the nodes' times differ, so that
- * the answers that the first of them get serve all.
+ * Renews the confirmation of the rules before API keys are no longer accepted. Answers to calls confirm the
+ * rules as well. A node asks other nodes first, and the store only when they know no newer confirmation. Each
+ * node refreshes at another age, so that the store's answers to the first nodes serve all.
  */
 import type { CancelTimer, Clock } from '../../kernel/clock.js';
 import { pause } from '../../kernel/pause.js';
 import type { RulesFreshness } from './rules-freshness.js';
 
-/** Age at which the first nodes ask the store, in milliseconds. */
+/** Age of the confirmation at which the first nodes refresh it, in milliseconds. */
 const FIRST_REFRESH_MS = 1_000;
-/** Span over which the other nodes follow, in milliseconds. */
+/** Span of ages over which the other nodes follow, in milliseconds. */
 const REFRESH_SPREAD_MS = 800;
-/** Time for other nodes to reply, in milliseconds. */
-const PEER_REPLY_MS = 60;
-/** Time without requests that bear API keys after which a node is idle, in milliseconds. */
+/** Time in which other nodes can reply before the store is asked, in milliseconds. */
+const PEER_REPLY_WAIT_MS = 60;
+/** Time without a check of an API key after which a node is idle, in milliseconds. */
 const IDLE_AFTER_MS = 5_000;
-/** An idle node has the rules confirmed so long before keys stop to count, in milliseconds. */
+/** How long before keys are no longer accepted an idle node refreshes at the latest, in milliseconds. */
 const IDLE_LEAD_MS = 700;
-/** Time until the next question when there was no answer, in milliseconds. */
+/** Time until the next attempt when nobody confirmed the rules, in milliseconds. */
 const RETRY_MS = 300;
 
-/** What the refresher works with. */
+/** Settings and dependencies of a {@link FreshnessRefresher}. */
 export interface FreshnessRefresherOptions {
   readonly clock: Clock;
   readonly freshness: RulesFreshness;
-  /** This node's place in the order of nodes, from 0 to 1. */
+  /** Position of this node in the order in which nodes refresh, from 0 (first) to 1 (last). */
   readonly place: number;
   /** Whether the rules in force need confirmations. */
   isNeeded(): boolean;
-  /** Whether the store answers this node. */
+  /** Whether the store is available to this node. */
   isStoreAvailable(): boolean;
   /** Asks the store; resolves with whether it answered. */
   askStore(): Promise<boolean>;
   /**
-   * Asks some other nodes, whose replies come later.
+   * Asks some other nodes; their replies arrive later.
    *
-   * @returns how many were asked
+   * @returns the number of nodes asked
    */
   askPeers(): number;
 }
 
-/** See the module comment. */
+/** Timer that renews the confirmation of the rules. */
 export class FreshnessRefresher {
   private cancelTimer: CancelTimer | undefined;
-  private asking = false;
+  private refreshing = false;
   private closed = false;
 
   constructor(private readonly options: FreshnessRefresherOptions) {}
 
-  /** The rules have changed, or a confirmation is void. */
+  /** Starts refreshing; called when the rules have changed or the confirmation was discarded. */
   wake(): void {
-    if (this.cancelTimer === undefined && !this.asking) this.check();
+    if (this.cancelTimer === undefined && !this.refreshing) this.check();
   }
 
-  /** Asks nobody any more. */
+  /** Stops refreshing. */
   close(): void {
     this.closed = true;
     this.cancelTimer?.();
@@ -62,12 +62,12 @@
   private check(): void {
     const { freshness, isNeeded } = this.options;
     if (this.closed || !isNeeded()) return;
-    const dueInMs = this.refreshAfterMs() - freshness.ageMs();
-    if (dueInMs > 0) this.checkAfter(dueInMs);
-    else void this.ask();
+    const delayMs = this.refreshAfterMs() - freshness.ageMs();
+    if (delayMs > 0) this.checkAfter(delayMs);
+    else void this.refresh();
   }
 
-  /** Age at which the rules are to be confirmed again, in milliseconds. */
+  /** Age at which the confirmation is refreshed, in milliseconds. */
   private refreshAfterMs(): number {
     const { freshness, place } = this.options;
     const spreadMs = REFRESH_SPREAD_MS * place;
@@ -77,13 +77,13 @@
     return isIdle ? Math.max(inUseMs, maxAgeMs - IDLE_LEAD_MS - spreadMs) : inUseMs;
   }
 
-  private async ask(): Promise<void> {
+  private async refresh(): Promise<void> {
     const { askPeers, askStore, clock, freshness, isStoreAvailable } = this.options;
-    this.asking = true;
-    if (askPeers() > 0) await pause(clock, PEER_REPLY_MS);
+    this.refreshing = true;
+    if (askPeers() > 0) await pause(clock, PEER_REPLY_WAIT_MS);
     const isFresh = (): boolean => freshness.ageMs() < this.refreshAfterMs();
     if (!isFresh() && isStoreAvailable() && !this.closed) await askStore();
-    this.asking = false;
+    this.refreshing = false;
     this.checkAfter(isFresh() ? this.refreshAfterMs() - freshness.ageMs() : RETRY_MS);
   }
 
--- a/src/sidecar/rules/peer-rules-fetch.test.ts
+++ b/src/sidecar/rules/peer-rules-fetch.test.ts
@@ -1,4 +1,4 @@
-/** Fetching rules from peers, on a clock of its own. */
+/** Tests fetching rules from peers, on a manual clock. */
 import assert from 'node:assert/strict';
 import { beforeEach, test } from 'node:test';
 import { ManualClock } from '../../kernel/clock.js';
@@ -6,74 +6,74 @@
 
 let clock: ManualClock;
 let current: number;
-let asked: string[];
+let requested: string[];
 let fetch: PeerRulesFetch;
 
 beforeEach(() => {
   clock = new ManualClock();
   current = 1;
-  asked = [];
+  requested = [];
   fetch = new PeerRulesFetch({ clock, currentVersion: () => current });
 });
 
-function tell(peer: string, version: number): void {
-  fetch.onPeerVersion(version, () => asked.push(peer));
+function announce(peer: string, version: number): void {
+  fetch.onPeerVersion(version, () => requested.push(peer));
 }
 
-test('what the store tells in time is asked of nobody', () => {
-  for (let peer = 0; peer < 100; peer += 1) tell(`p${peer}`, 2);
+test('requests nothing from peers when the store sends the rules in time', () => {
+  for (let peer = 0; peer < 100; peer += 1) announce(`p${peer}`, 2);
   clock.advance(20);
   current = 2;
   clock.advance(1_000);
-  assert.deepEqual(asked, []);
+  assert.deepEqual(requested, []);
 });
 
-test('of a hundred peers that know more one is asked', () => {
-  for (let peer = 0; peer < 100; peer += 1) tell(`p${peer}`, 2);
+test('requests newer rules from one of a hundred peers', () => {
+  for (let peer = 0; peer < 100; peer += 1) announce(`p${peer}`, 2);
   clock.advance(110);
-  assert.equal(asked.length, 1);
+  assert.equal(requested.length, 1);
   current = 2;
   clock.advance(1_000);
-  assert.equal(asked.length, 1);
+  assert.equal(requested.length, 1);
 });
 
-test('a peer that does not answer is followed by the next', () => {
-  tell('first', 2);
-  tell('second', 2);
+test('asks the next peer when one does not answer', () => {
+  announce('first', 2);
+  announce('second', 2);
   clock.advance(1_000);
-  assert.deepEqual(asked, ['second', 'first']);
+  assert.deepEqual(requested, ['second', 'first']);
 });
 
-test('the peer with the newest rules is asked first', () => {
-  tell('newest', 3);
-  tell('newer', 2);
+test('asks the peer with the newest rules first', () => {
+  announce('newest', 3);
+  announce('newer', 2);
   clock.advance(110);
-  assert.deepEqual(asked, ['newest']);
+  assert.deepEqual(requested, ['newest']);
   current = 3;
   clock.advance(1_000);
-  assert.deepEqual(asked, ['newest']);
+  assert.deepEqual(requested, ['newest']);
 });
 
-test('peers that know no more are not asked', () => {
-  tell('same', 1);
-  tell('older', 0);
+test('does not ask peers without newer rules', () => {
+  announce('same', 1);
+  announce('older', 0);
   clock.advance(1_000);
-  assert.deepEqual(asked, []);
+  assert.deepEqual(requested, []);
 });
 
-test('a later change is fetched as well', () => {
-  tell('one', 2);
+test('fetches a later change as well', () => {
+  announce('one', 2);
   clock.advance(110);
   current = 2;
   clock.advance(1_000);
-  tell('two', 3);
+  announce('two', 3);
   clock.advance(110);
-  assert.deepEqual(asked, ['one', 'two']);
+  assert.deepEqual(requested, ['one', 'two']);
 });
 
-test('after the close nobody is asked', () => {
-  tell('one', 2);
+test('requests nothing after it was closed', () => {
+  announce('one', 2);
   fetch.close();
   clock.advance(1_000);
-  assert.deepEqual(asked, []);
+  assert.deepEqual(requested, []);
 });
--- a/src/sidecar/rules/peer-rules-fetch.ts
+++ b/src/sidecar/rules/peer-rules-fetch.ts
@@ -5,17 +5,17 @@
  */
 import type { CancelTimer, Clock } from '../../kernel/clock.js';
 
-/** Time for the store to tell a change itself, which it does within some milliseconds when it can. */
-const STORE_FIRST_MS = 100;
-/** Wait for the document of a peer before the next one is asked, in milliseconds. */
-const DOCUMENT_WAIT_MS = 300;
-/** Peers to ask that are kept, the latest ones. */
+/** Time for the store to send a change itself, in milliseconds; it needs only a few when it is available. */
+const STORE_UPDATE_WAIT_MS = 100;
+/** Longest wait for a peer's document before the next peer is asked, in milliseconds. */
+const DOCUMENT_TIMEOUT_MS = 300;
+/** Number of offers that are kept; the oldest are dropped. */
 const MAX_OFFERS = 8;
 
-/** What the fetch works with. */
+/** Dependencies of a {@link PeerRulesFetch}. */
 export interface PeerRulesFetchOptions {
   readonly clock: Clock;
-  /** Version in force here; 0: none. */
+  /** Version in force at this node; 0: none. */
   currentVersion(): number;
 }
 
@@ -25,7 +25,7 @@
   readonly request: () => void;
 }
 
-/** See the module comment. */
+/** Requests newer rules from the peers that have announced them. */
 export class PeerRulesFetch {
   private offers: readonly Offer[] = [];
   private cancelTimer: CancelTimer | undefined;
@@ -33,31 +33,31 @@
   constructor(private readonly options: PeerRulesFetchOptions) {}
 
   /**
-   * A peer has told its version.
+   * Called when a peer announces the version of its rules.
    *
-   * @param request asks this peer for its rules
+   * @param request requests this peer's rules
    */
   onPeerVersion(version: number, request: () => void): void {
     if (version <= this.options.currentVersion()) return;
     this.offers = [...this.offers, { version, request }].slice(-MAX_OFFERS);
-    this.cancelTimer ??= this.askAfter(STORE_FIRST_MS);
+    this.cancelTimer ??= this.scheduleRequest(STORE_UPDATE_WAIT_MS);
   }
 
-  /** Asks nobody any more. */
+  /** Stops requesting rules. */
   close(): void {
     this.cancelTimer?.();
     this.offers = [];
   }
 
-  private askAfter(delayMs: number): CancelTimer {
+  private scheduleRequest(delayMs: number): CancelTimer {
     return this.options.clock.schedule(delayMs, () => {
       this.cancelTimer = undefined;
-      this.askNext();
+      this.requestNext();
     });
   }
 
-  /** Asks the latest peer of those with the newest rules. */
-  private askNext(): void {
+  /** Requests the rules from the latest peer of those with the newest version. */
+  private requestNext(): void {
     const current = this.options.currentVersion();
     const useful = this.offers.filter(({ version }) => version > current);
     const newest = Math.max(...useful.map(({ version }) => version));
@@ -65,6 +65,6 @@
     this.offers = useful.filter((offer) => offer !== chosen);
     if (chosen === undefined) return;
     chosen.request();
-    this.cancelTimer = this.askAfter(DOCUMENT_WAIT_MS);
+    this.cancelTimer = this.scheduleRequest(DOCUMENT_TIMEOUT_MS);
   }
 }
--- a/src/sidecar/rules/route-table.test.ts
+++ b/src/sidecar/rules/route-table.test.ts
@@ -38,7 +38,7 @@
   };
 }
 
-test('the longest prefix of the host wins', () => {
+test('finds the route with the longest matching prefix of the host', () => {
   const table = new RouteTable(
     rules([route({ name: 'short' }), route({ name: 'long', pathPrefix: '/x/y/' })]),
   );
@@ -51,7 +51,7 @@
   assert.equal(table.find('b.example', '/x/1'), undefined);
 });
 
-test('shares are kept in every stretch of turns', () => {
+test('each hundred consecutive requests are distributed by the weights', () => {
   const shares = [
     { service: 's', weight: 90 },
     { service: 't', weight: 10 },
@@ -65,7 +65,7 @@
   }
 });
 
-test('a document that contradicts itself is refused as a whole', () => {
+test('rejects an inconsistent document as a whole', () => {
   const unknown = route({ shares: [{ service: 'u', weight: 1 }] });
   const nowhere = route({ shares: [{ service: 's', weight: 0 }] });
   assert.ok(checkRules(rules([route({})])).isOk);
@@ -74,12 +74,12 @@
   assert.ok(checkRules(rules([route({}), route({ name: 'q' })])).isErr);
 });
 
-test('ranks become classes; those beyond the last share it', () => {
+test('maps ranks to classes; ranks beyond the last class share it', () => {
   const classes = [0, 1, 2, 3, 7].map(criticalityOfRank);
   assert.deepEqual(classes, ['critical', 'high', 'normal', 'sheddable', 'sheddable']);
 });
 
-test('the rank of the tenant goes before that of the route', () => {
+test('the rank of the tenant takes precedence over the rank of the route', () => {
   const routeRanks = [0, 1, 2];
   const classesOf = (tenantRank?: number) =>
     routeRanks.map((rank) => criticalityOf(tenantRank, rank));
--- a/src/sidecar/rules/route-table.ts
+++ b/src/sidecar/rules/route-table.ts
@@ -1,16 +1,16 @@
 /** Finds the route of a request: by host, then by the longest path prefix. */
 import { TenantTable } from '../tenants/tenant-table.js';
 import type { RouteRules, RoutingRules } from './routing-rules.js';
-import { WeightedTurns } from './weighted-turns.js';
+import { WeightedRoundRobin } from './weighted-round-robin.js';
 
-/** A route with the state that spreads its requests over services. */
+/** A route with the state that distributes its requests over services. */
 export interface Route {
   readonly rules: RouteRules;
   /** Chooses the service of the next request. */
   nextService(): string;
 }
 
-/** Routes of one document. */
+/** Routing table of one rules document. */
 export class RouteTable {
   /** Routes by host, then by prefix. */
   private readonly byHost = new Map<string, Map<string, Route>>();
@@ -24,14 +24,14 @@
   }
 
   /**
-   * @param host value of the Host field; a port is passed over
+   * @param host value of the Host field; a port is ignored
    * @param path path with query, as received
    */
   find(host: string, path: string): Route | undefined {
     const routes = this.byHost.get(normalizeHost(host));
     if (routes === undefined) return undefined;
     const end = path.indexOf('?');
-    // A prefix ends with a slash, so only what ends with one can match; the longest first.
+    // A prefix ends with a slash, so only parts of the path that end with one can match; the longest first.
     let slash = path.lastIndexOf('/', end < 0 ? path.length : end - 1);
     while (slash >= 0) {
       const route = routes.get(path.slice(0, slash + 1));
@@ -44,7 +44,7 @@
   private add(rules: RouteRules): void {
     const host = normalizeHost(rules.host);
     const routes = this.byHost.get(host) ?? new Map<string, Route>();
-    const turns = new WeightedTurns(rules.shares);
+    const turns = new WeightedRoundRobin(rules.shares);
     routes.set(rules.pathPrefix, { rules, nextService: () => turns.next() });
     this.byHost.set(host, routes);
   }
--- a/src/sidecar/rules/routing-rules.ts
+++ b/src/sidecar/rules/routing-rules.ts
@@ -1,4 +1,4 @@
-/** Routing rules: which requests exist, which services run them and under which bounds. */
+/** Routing rules: the routes, the services that run their requests, and the limits that apply. */
 import { Result } from 'true-myth';
 import { createFailure, type Failure } from '../../core/failure.js';
 import type { QuotaLimit } from '../../core/quota/quota-counter.js';
@@ -6,7 +6,7 @@
 import { CRITICALITIES } from '../../core/request.js';
 import { ResultCode } from '../../core/result-code.js';
 
-/** Share of a route's requests that a service runs. */
+/** Share of a route's requests that goes to one service. */
 export interface ServiceShare {
   readonly service: string;
   /** Part of the sum of all weights of the route; at least 0. */
@@ -20,51 +20,51 @@
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
-  /** Whether a request that may have run can be repeated. */
+  /** Whether a request that may have run can be retried. */
   readonly idempotent: boolean;
   /** Rank among the routes; 0 is the most important. */
   readonly rank: number;
-  /** Longest time that a request is held, in milliseconds. */
+  /** Longest time until a request is answered, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time within which an answer is worth most, in milliseconds. */
+  /** Objective for the time until an answer, in milliseconds; an answer within it is worth most. */
   readonly aimMs: number;
-  /** Most targets that one request may be sent to. */
+  /** Maximum number of targets that one request may be sent to. */
   readonly maxAttempts: number;
   readonly shares: readonly ServiceShare[];
-  /** Whether requests need no API key, also where there are tenants. */
+  /** Whether requests need no API key even if the rules have tenants. */
   readonly isPublic: boolean;
 }
 
-/** A tenant: callers that share API keys, an importance and a limit. */
+/** A tenant: callers that share API keys, a rank and a limit. */
 export interface TenantRules {
   readonly name: string;
   readonly apiKeys: readonly string[];
-  /** Rank among the tenants, 0 being the most important; goes before that of the route. */
+  /** Rank among the tenants; 0 is the most important. Takes precedence over the rank of the route. */
   readonly rank?: number;
   /** Limit over all nodes; absent: none. */
   readonly limit?: QuotaLimit;
 }
 
-/** A service as the rules know it. */
+/** Properties of a service in the rules. */
 export interface MeshServiceRules {
   /** Path of the targets' health check. */
   readonly healthPath: string;
-  /** Connections that one target accepts from all callers together. */
+  /** Maximum number of connections that one target accepts from all callers together. */
   readonly maxConnections: number;
 }
 
-/** Bounds on what callers send. */
+/** Limits on requests and connections of callers. */
 export interface CallerLimits {
   readonly maxBodyBytes: number;
-  /** Time in which the head of a request must be there, in milliseconds. */
+  /** Time within which the header of a request must be received, in milliseconds. */
   readonly headerTimeoutMs: number;
-  /** Time for which a connection may rest, in milliseconds. */
+  /** Longest time for which a connection may be idle, in milliseconds. */
   readonly idleTimeoutMs: number;
 }
 
-/** A whole document. */
+/** A complete rules document. */
 export interface RoutingRules {
-  /** Rises with each change, in uneven steps. */
+  /** Increases with each change, not always by one. */
   readonly version: number;
   readonly routes: readonly RouteRules[];
   readonly services: ReadonlyMap<string, MeshServiceRules>;
@@ -73,7 +73,7 @@
   readonly tenants?: readonly TenantRules[];
 }
 
-/** Checks what the parts of a document say of each other; see {@link checkRules}. */
+/** Checks the consistency of a document; see {@link checkRules}. */
 function findDefect(rules: RoutingRules): string | undefined {
   return findRouteDefect(rules) ?? findTenantDefect(rules);
 }
@@ -98,12 +98,13 @@
     places.add(place);
     const unknown = shares.find(({ service }) => !services.has(service));
     if (unknown !== undefined) return `route ${name} names unknown service ${unknown.service}`;
-    if (!shares.some(({ weight }) => weight > 0)) return `route ${name} goes nowhere`;
+    if (!shares.some(({ weight }) => weight > 0))
+      return `route ${name} has no service with a weight above 0`;
   }
   return undefined;
 }
 
-/** Refuses a document as a whole when it contradicts itself (4001). */
+/** Rejects an inconsistent document as a whole (4001). */
 export function checkRules(rules: RoutingRules): Result<RoutingRules, Failure> {
   const defect = findDefect(rules);
   if (defect === undefined) return Result.ok(rules);
@@ -111,8 +112,8 @@
 }
 
 /**
- * Class of a request by the rank of its tenant first and of its route second. The most important tenants
- * have the highest class to themselves; requests of the others follow by their routes.
+ * Class of a request, by the rank of its tenant first and of its route second. With tenant ranks, only the
+ * most important tenants have the highest class; the ranks of the others and of their routes are added.
  *
  * @param tenantRank undefined: the request has no tenant, or its tenant no rank
  */
--- a/src/sidecar/rules/rules-freshness.test.ts
+++ b/src/sidecar/rules/rules-freshness.test.ts
@@ -21,12 +21,12 @@
   freshness = new RulesFreshness(options);
 });
 
-test('nothing counts before the first confirmation', () => {
+test('accepts no keys before the first confirmation', () => {
   assert.ok(freshness.remainingMs() <= 0);
   assert.equal(freshness.confirmation, undefined);
 });
 
-test('the age counts from the question, not from the answer', () => {
+test('the age counts from the request to the store, not from its answer', () => {
   const askedAt = clock.bootNow();
   clock.advance(900);
   freshness.confirm(7, askedAt);
@@ -34,14 +34,14 @@
   assert.equal(freshness.remainingMs(), MAX_AGE_MS - 900);
 });
 
-test('time for which the machine was suspended counts', () => {
+test('the age includes the time for which the machine was suspended', () => {
   freshness.confirm(7, clock.bootNow());
   clock.suspend(30_000);
   assert.equal(freshness.ageMs(), 30_000);
   assert.ok(freshness.remainingMs() <= 0);
 });
 
-test('an answer that was asked for earlier replaces no younger one', () => {
+test('the answer to an earlier request does not replace a newer confirmation', () => {
   const earlier = clock.bootNow();
   clock.advance(1_000);
   freshness.confirm(7, clock.bootNow());
@@ -49,7 +49,7 @@
   assert.equal(freshness.ageMs(), 0);
 });
 
-test('a confirmation of a version that is not in force here counts for nothing', () => {
+test('ignores a confirmation of a version that is not in force at this node', () => {
   freshness.confirm(8, clock.bootNow());
   assert.equal(freshness.ageMs(), Infinity);
   version = 8;
@@ -57,12 +57,12 @@
   assert.equal(freshness.ageMs(), 0);
 });
 
-test('a confirmation of an older version counts: nothing newer had been acknowledged then', () => {
+test('accepts a confirmation of an older version, since nothing newer had been acknowledged then', () => {
   freshness.confirmByPeer({ version: 5, ageMs: 300 }, clock.bootNow());
   assert.equal(freshness.ageMs(), 300);
 });
 
-test('what is handed on is as old as it is here', () => {
+test('the confirmation for other nodes has the age that it has at this node', () => {
   const askedAt = clock.bootNow();
   clock.advance(200);
   freshness.confirmByPeer({ version: 7, ageMs: 300 }, askedAt);
@@ -70,7 +70,7 @@
   assert.deepEqual(freshness.confirmation, { version: 7, ageMs: 550 });
 });
 
-test('a store of another era has confirmed nothing', () => {
+test('a reset discards the confirmation', () => {
   freshness.confirm(7, clock.bootNow());
   freshness.reset();
   assert.ok(freshness.remainingMs() <= 0);
--- a/src/sidecar/rules/rules-freshness.ts
+++ b/src/sidecar/rules/rules-freshness.ts
@@ -1,29 +1,29 @@
 /**
- * How long ago the rules in force were known to be the newest. An API key that the operator takes away must
- * not be used later than a set time after, also on a node that does not hear of the change: so keys count
- * only while the rules were confirmed within that time.
+ * Tracks how recently the rules in force were confirmed to be the newest. A revoked API key must not be
+ * accepted for longer than a set time, even at a node that does not receive the change: so keys are accepted
+ * only if the rules were confirmed within that time.
  *
- * The rules are confirmed by a linearizable answer of the store, as of the moment at which it was asked for,
- * or by another node that has such an answer. A wait for changes that has not ended confirms nothing.
+ * The rules are confirmed by a linearizable answer of the store, as of the time of the request, or by another
+ * node that has such an answer. A wait for changes that is still in progress confirms nothing.
  */
 import type { Clock } from '../../kernel/clock.js';
 import { Event, type EventLog } from '../../kernel/event.js';
 
-/** What one node can tell another. */
+/** Confirmation of rules that one node sends to another. */
 export interface RulesConfirmation {
-  /** No version above this one had been acknowledged by the store. */
+  /** The store had acknowledged no version above this one. */
   readonly version: number;
   /** How long ago that was, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** What the freshness is judged by. */
+/** Settings and dependencies of {@link RulesFreshness}. */
 export interface RulesFreshnessOptions {
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Longest time since the last confirmation for which API keys count, in milliseconds. */
+  /** Longest time since the last confirmation for which API keys are accepted, in milliseconds. */
   maxAgeMs(): number;
-  /** Version in force here; 0: none. */
+  /** Version in force at this node; 0: none. */
   rulesVersion(): number;
 }
 
@@ -32,7 +32,7 @@
   readonly at: number;
 }
 
-/** See the module comment. */
+/** Newest confirmation of the rules, and its age. */
 export class RulesFreshness {
   private newest: Confirmed | undefined;
   private outdated = false;
@@ -41,7 +41,7 @@
 
   constructor(private readonly options: RulesFreshnessOptions) {}
 
-  /** The store has told, when it was asked at this boot time, that no version above this one is there. */
+  /** Records that the store, asked at this boot time, had acknowledged no version above this one. */
   confirm(version: number, at: number): void {
     const { clock, rulesVersion } = this.options;
     if (version === 0 || version > rulesVersion()) return;
@@ -51,15 +51,15 @@
   }
 
   /**
-   * Another node has told what it knows.
+   * Records a confirmation from another node.
    *
-   * @param askedAt boot time before which its message was not written
+   * @param askedAt boot time before which the other node did not write its message
    */
   confirmByPeer({ version, ageMs }: RulesConfirmation, askedAt: number): void {
     this.confirm(version, askedAt - ageMs);
   }
 
-  /** What this node can tell others; undefined: nothing. */
+  /** Confirmation to send to other nodes; undefined: none. */
   get confirmation(): RulesConfirmation | undefined {
     const { newest } = this;
     if (newest === undefined) return undefined;
@@ -71,14 +71,14 @@
     return this.newest === undefined ? Infinity : this.options.clock.bootNow() - this.newest.at;
   }
 
-  /** Milliseconds for which API keys still count without another confirmation; not above 0: they don't. */
+  /** Milliseconds for which API keys are accepted without another confirmation; 0 or less: they are refused. */
   remainingMs(): number {
     this.lastUsedAt = this.options.clock.bootNow();
     this.update();
     return this.options.maxAgeMs() - this.ageMs();
   }
 
-  /** Longest age at which API keys count, in milliseconds. */
+  /** Longest age of the confirmation at which API keys are accepted, in milliseconds. */
   get maxAgeMs(): number {
     return this.options.maxAgeMs();
   }
@@ -88,13 +88,13 @@
     return this.options.clock.bootNow() - this.lastUsedAt;
   }
 
-  /** What was confirmed is void: the store has come back from an older copy. */
+  /** Discards the confirmation: the store was restored from an older copy. */
   reset(): void {
     this.newest = undefined;
     this.update();
   }
 
-  /** Logs each change between keys that count and keys that don't. */
+  /** Logs each change between accepted and refused API keys. */
   private update(): void {
     const ageMs = this.ageMs();
     const outdated = ageMs >= this.options.maxAgeMs();
