--- a/src/sidecar/quarantine/quarantine-update.ts
+++ b/src/sidecar/quarantine/quarantine-update.ts
@@ -1,18 +1,18 @@
-/** What nodes tell each other of requests under which targets ended. */
+/** Messages between nodes about requests during which targets crashed. */
 import type { RequestKey, TargetEnd } from '../../core/quarantine/suspect-table.js';
 
-/** Ends of targets, or requests that have been answered after they were suspect. */
+/** Reports crashes of targets, or suspect requests that a target has since answered. */
 export type QuarantineUpdate =
   | { readonly type: 'target-ends'; readonly ends: readonly TargetEnd[] }
   | { readonly type: 'requests-cleared'; readonly requests: readonly RequestKey[] };
 
-/** Tells one node something; it may do nothing when the node is out of reach. */
+/** Sends an update to one node; may do nothing when the node is unreachable. */
 export type SendUpdate = (update: QuarantineUpdate) => void;
 
-/** Takes part in the exchange on one link. */
+/** Exchanges updates over a link. */
 export interface QuarantineExchange {
-  /** What a node that connects has to hear; undefined: nothing. */
+  /** Update to send to a node that connects; undefined: none. */
   currentUpdate(): QuarantineUpdate | undefined;
-  /** @param reply tells the sender something */
+  /** @param reply sends an update back to the sender */
   onUpdate(update: QuarantineUpdate, reply: SendUpdate): void;
 }
--- a/src/sidecar/quarantine/request-key.ts
+++ b/src/sidecar/quarantine/request-key.ts
@@ -1,20 +1,20 @@
 /**
- * What makes two requests the same: a request that comes again has another identity of its try, and
- * maybe another node, but does the same to a target. Computed from what goes over links anyway, so that
- * nothing more has to be sent.
+ * Key of a request's content. A request that is sent again has another attempt id, and may start at another
+ * node, but has the same effect on a target. The key is computed from fields that go over links anyway, so
+ * that nothing more has to be sent.
  */
 import { createHash } from 'node:crypto';
 import type { RequestKey } from '../../core/quarantine/suspect-table.js';
 import type { AttemptCall, RawFields } from '../link/link-messages.js';
 
-/** Length of a hash of content, in hexadecimal digits: 64 bits. */
-const CONTENT_LENGTH = 16;
+/** Length of the content hash, in hexadecimal digits: 64 bits. */
+const CONTENT_HASH_DIGITS = 16;
 const ALGORITHM = 'sha256';
 const HOST = 'host';
 
 /**
- * The key of a call: equal for requests with the same method, host, path, body and calling service, and
- * for others but by rare chance; the same at each node that a call passes.
+ * Computes the key of a call. It is equal for calls with the same method, host, path, body and calling service;
+ * other calls share it only by a rare hash collision. Every node that a call passes computes the same key.
  */
 export function keyOfCall(call: AttemptCall): RequestKey {
   const { method, path, callerService: caller, body, fields } = call;
@@ -22,7 +22,7 @@
     .update(`${method}\n${hostOf(fields)}\n${path}\n`)
     .update(body)
     .digest('hex')
-    .slice(0, CONTENT_LENGTH);
+    .slice(0, CONTENT_HASH_DIGITS);
   return { content, caller };
 }
 
--- a/src/sidecar/quarantine/request-quarantine.test.ts
+++ b/src/sidecar/quarantine/request-quarantine.test.ts
@@ -1,4 +1,4 @@
-/** Nodes that tell each other of ends, over links that the tests cut and open. */
+/** Tests nodes that report crashes to each other, over links that the tests cut and open. */
 import assert from 'node:assert/strict';
 import { beforeEach, test } from 'node:test';
 import type { Failure } from '../../core/failure.js';
@@ -35,27 +35,27 @@
   };
 }
 
-/** Nodes with links between neighbours, as the edges of a ring. */
+/** Nodes in a ring, with links between neighbours. */
 class Ring {
   readonly clock = new ManualClock();
   readonly events: Event[] = [];
   readonly nodes: RequestQuarantine[] = [];
   readonly cut = new Set<number>();
   sent = 0;
-  /** Beside the target that runs trials. */
+  /** Node whose target runs trials. */
   trialNode: string | undefined = 'node-4';
 
   constructor(size: number) {
     for (let index = 0; index < size; index += 1) this.nodes.push(this.createNode(index));
   }
 
-  /** A node that starts anew and opens its links. */
+  /** Restarts a node without state and opens its links. */
   restart(index: number): void {
     this.nodes[index] = this.createNode(index);
     this.connect(index);
   }
 
-  /** The links of a node open: either side tells what it knows. */
+  /** Opens the links of a node: both sides send what they know. */
   connect(index: number): void {
     this.cut.delete(index);
     for (const neighbour of this.neighboursOf(index)) {
@@ -64,10 +64,10 @@
     }
   }
 
-  /** Targets beside nodes end while they run a request. */
-  end(call: AttemptCall, ...indexes: number[]): void {
+  /** Lets the targets of nodes crash while they run a request. */
+  crash(call: AttemptCall, ...indexes: number[]): void {
     for (const index of indexes) {
-      this.nodes[index]!.noteTargetEnd(`life of ${index}`, [keyOfCall(call)]);
+      this.nodes[index]!.noteTargetEnd(`incarnation of ${index}`, [keyOfCall(call)]);
     }
   }
 
@@ -90,8 +90,8 @@
   private deliver(from: number, to: number, update: QuarantineUpdate | undefined): void {
     if (update === undefined || this.cut.has(from) || this.cut.has(to)) return;
     this.sent += 1;
-    this.nodes[to]!.onUpdate(update, (answer) => {
-      this.deliver(to, from, answer);
+    this.nodes[to]!.onUpdate(update, (reply) => {
+      this.deliver(to, from, reply);
     });
   }
 }
@@ -106,8 +106,8 @@
   ring = new Ring(6);
 });
 
-test('ends that three nodes have seen, one each, add up at all nodes', () => {
-  ring.end(CAUSE, 0, 2, 4);
+test('crashes that three nodes have seen, one each, add up at all nodes', () => {
+  ring.crash(CAUSE, 0, 2, 4);
   for (const node of ring.nodes) {
     const refusal = refusalOf(node.admit(CAUSE));
     assert.equal(refusal?.code, ResultCode.RequestQuarantined);
@@ -118,71 +118,71 @@
   }
 });
 
-test('the update about an end crosses each link at most twice', () => {
-  ring.end(CAUSE, 0);
+test('the update about a crash crosses each link at most twice', () => {
+  ring.crash(CAUSE, 0);
   assert.ok(ring.sent <= 12, `${ring.sent} messages`);
 });
 
-test('after one end a request may be repeated, after two no more', () => {
-  ring.end(CAUSE, 0);
+test('a request may be retried after one crash, and not after two', () => {
+  ring.crash(CAUSE, 0);
   assert.ok(ring.nodes[3]!.mayRepeat(CAUSE));
   assert.equal(ring.nodes[3]!.admit(CAUSE).type, 'routed');
-  ring.end(CAUSE, 1);
+  ring.crash(CAUSE, 1);
   assert.ok(!ring.nodes[3]!.mayRepeat(CAUSE));
   assert.equal(refusalOf(ring.nodes[3]!.admit(CAUSE))?.code, ResultCode.RequestQuarantined);
 });
 
-test('trials of all nodes go to one target, which runs the first', () => {
-  ring.end(CAUSE, 0, 1);
+test('trials of all nodes go to one target, which runs the first of them', () => {
+  ring.crash(CAUSE, 0, 1);
   ring.clock.advance(5_000);
   for (const node of ring.nodes) {
     assert.deepEqual(node.admit(CAUSE), { type: 'trial', node: ring.trialNode });
   }
-  const beside = ring.nodes[4]!;
-  assert.equal(beside.admitRun(CAUSE), undefined);
-  assert.equal(beside.admitRun(CAUSE)?.code, ResultCode.RequestQuarantined);
+  const trialNode = ring.nodes[4]!;
+  assert.equal(trialNode.admitRun(CAUSE), undefined);
+  assert.equal(trialNode.admitRun(CAUSE)?.code, ResultCode.RequestQuarantined);
   ring.clock.advance(5_000);
-  assert.equal(beside.admitRun(CAUSE), undefined);
+  assert.equal(trialNode.admitRun(CAUSE), undefined);
 });
 
-test('a request is held on while the target for its trial is not in reach', () => {
+test('a request remains held while the target for its trial is unreachable', () => {
   ring.trialNode = undefined;
-  ring.end(CAUSE, 0, 1);
+  ring.crash(CAUSE, 0, 1);
   ring.clock.advance(5_000);
   assert.equal(refusalOf(ring.nodes[3]!.admit(CAUSE))?.execution, 'not-run');
 });
 
-test('a node that starts anew hears of the ends when its links open', () => {
-  ring.end(CAUSE, 0, 2, 4);
+test('a restarted node receives the crashes when its links open', () => {
+  ring.crash(CAUSE, 0, 2, 4);
   ring.restart(5);
   assert.equal(ring.nodes[5]!.admitRun(CAUSE)?.code, ResultCode.RequestQuarantined);
 });
 
-test('a node that saw an end while it was cut off tells it when its links open again', () => {
+test('a node that saw a crash while it was cut off reports it when its links open again', () => {
   ring.cut.add(0);
-  ring.end(CAUSE, 0, 2, 4);
+  ring.crash(CAUSE, 0, 2, 4);
   assert.equal(ring.nodes[3]!.admitRun(CAUSE), undefined);
   ring.connect(0);
   for (const node of ring.nodes) assert.ok(node.admitRun(CAUSE) !== undefined);
 });
 
 test('a request that some target answers is cleared at all nodes', () => {
-  ring.end(OTHER, 0, 1, 2);
+  ring.crash(OTHER, 0, 1, 2);
   ring.nodes[4]!.noteServed(OTHER);
   for (const node of ring.nodes) assert.equal(node.admit(OTHER).type, 'routed');
   assert.ok(ring.events.includes(Event.QuarantineLifted));
 });
 
-test('a request that was answered before is cleared by whoever knows it', () => {
+test('a request that was answered before is cleared by a node that knows it', () => {
   ring.nodes[3]!.noteServed(OTHER);
-  ring.end(OTHER, 0, 1, 2);
+  ring.crash(OTHER, 0, 1, 2);
   for (const node of ring.nodes) assert.equal(node.admit(OTHER).type, 'routed');
 });
 
-test('each node says once that it keeps a request from targets, with the evidence', () => {
-  ring.end(CAUSE, 0, 2, 4);
-  const told = ring.events.filter((event) => event === Event.RequestQuarantined).length;
-  assert.equal(told, 2 * ring.nodes.length, 'held, then barred');
+test('each node logs each verdict on a request once', () => {
+  ring.crash(CAUSE, 0, 2, 4);
+  const logged = ring.events.filter((event) => event === Event.RequestQuarantined).length;
+  assert.equal(logged, 2 * ring.nodes.length, 'held, then barred');
 });
 
 for (const [name, overrides] of [
@@ -197,7 +197,7 @@
   });
 }
 
-test('a request that comes again with another identity is the same request', () => {
+test('a request that is sent again with other ids is the same request', () => {
   const again = { ...CAUSE, attemptId: 'b', requestId: 'b', timeLeftMs: 1, rank: 3 };
   assert.deepEqual(keyOfCall(again), keyOfCall(CAUSE));
 });
--- a/src/sidecar/quarantine/request-quarantine.ts
+++ b/src/sidecar/quarantine/request-quarantine.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps requests under which targets ended from the targets that are left. What this node has seen
- * and the crash reports of all nodes are merged in one table and gossiped over open links, since
- * the store may be away when targets end.
+ * Keeps requests during which targets crashed from the remaining targets. The crashes that this node has seen
+ * and the reports of all other nodes are merged in one table. They are gossiped over open links, since the
+ * store may be unavailable when targets crash.
  */
 import { createFailure, type Failure } from '../../core/failure.js';
 import {
@@ -18,47 +18,47 @@
 import type { QuarantineExchange, QuarantineUpdate, SendUpdate } from './quarantine-update.js';
 import { keyOfCall } from './request-key.js';
 
-/** Requests in one log line. */
+/** Maximum number of requests in one log line. */
 const MAX_LOGGED = 8;
 
-/** What the quarantine works with. */
+/** Dependencies of a {@link RequestQuarantine}. */
 export interface RequestQuarantineOptions {
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Tells all connected nodes. */
+  /** Sends an update to all connected nodes. */
   broadcast(update: QuarantineUpdate): void;
-  /** The node whose target runs the trials of a content; undefined while none is in reach. */
+  /** The node whose target runs the trials of a content; undefined while none is reachable. */
   trialNodeOf(service: string, content: string): string | undefined;
 }
 
-/** What becomes of a request at the node where it begins. */
+/** Decision on a request at its entry node. */
 export type Admission =
   | { readonly type: 'routed' }
-  /** It may run at the target beside this node and at no other. */
+  /** It may run only at the target of this `node`. */
   | { readonly type: 'trial'; readonly node: string }
   | { readonly type: 'refused'; readonly failure: Failure };
 
 const ROUTED: Admission = { type: 'routed' };
-/** Told when no target is there for a trial, in milliseconds. */
+/** Retry delay for callers while no target is reachable for a trial, in milliseconds. */
 const NO_TRIAL_RETRY_MS = 1_000;
 
-/** See the module comment. */
+/** Decides which requests may run, from the crashes of targets that nodes report. */
 export class RequestQuarantine implements QuarantineExchange {
   private readonly table = new SuspectTable();
 
   constructor(private readonly options: RequestQuarantineOptions) {}
 
-  /** Requests that are suspect. */
+  /** Number of suspect requests. */
   get suspects(): number {
     return this.table.size;
   }
 
-  /** Requests that are kept from targets. */
+  /** Number of requests that are kept from targets. */
   get quarantined(): number {
     return this.table.quarantined;
   }
 
-  /** Whether a request is routed, at the node where it begins. */
+  /** Decides at the entry node of a request whether it is routed. */
   admit(call: AttemptCall): Admission {
     if (this.table.size === 0) return ROUTED;
     const key = keyOfCall(call);
@@ -72,9 +72,8 @@
   }
 
   /**
-   * Second check at the target's node: the node where the request began may not have received the crash
-   * reports, and others may send a trial at the same time. The failure says that it was not run and
-   * when to come back.
+   * Second check at the target's node: the entry node may not have received the crash reports, and other nodes
+   * may send a trial at the same time. The failure states that the request was not run and when to retry.
    */
   admitRun(call: AttemptCall): Failure | undefined {
     if (this.table.size === 0) return undefined;
@@ -82,33 +81,33 @@
     return toFailure(key, this.table.admitRun(this.options.clock.now(), key));
   }
 
-  /** Whether a request may be sent to another target after one has failed it. */
+  /** Whether a request may be sent to another target after one target failed it. */
   mayRepeat(call: AttemptCall): boolean {
     if (this.table.size === 0) return true;
     return this.table.endsOf(keyOfCall(call)) < HELD_ENDS;
   }
 
-  /** The own target ended while it ran these requests. */
+  /** Records that the local target crashed while it ran these requests, and broadcasts it. */
   noteTargetEnd(target: string, requests: readonly RequestKey[]): void {
-    const end = { target, ageMs: 0, requests };
-    const fresh = this.takeEnd(end);
+    const crash = { target, ageMs: 0, requests };
+    const added = this.recordCrash(crash);
     this.options.log.emit(Event.TargetEnded, {
       target,
       running: requests.length,
-      suspects: fresh.length,
-      requests: fresh
+      suspects: added.length,
+      requests: added
         .slice(0, MAX_LOGGED)
         .map(({ content }) => content)
         .join(' '),
     });
-    if (fresh.length === 0) return;
-    this.options.broadcast({ type: 'target-ends', ends: [{ ...end, requests: fresh }] });
+    if (added.length === 0) return;
+    this.options.broadcast({ type: 'target-ends', ends: [{ ...crash, requests: added }] });
   }
 
-  /** The own target gave a whole answer. */
+  /** Records that the local target answered a request completely. */
   noteServed(call: AttemptCall): void {
     const key = keyOfCall(call);
-    // Suspicions of one end are left to fade elsewhere: most are of requests that never come again.
+    // Other nodes let suspicions of a single crash expire: most of these requests are never sent again.
     if (this.clear(key) < HELD_ENDS) return;
     this.options.broadcast({ type: 'requests-cleared', requests: [key] });
   }
@@ -121,19 +120,19 @@
   }
 
   onUpdate(update: QuarantineUpdate, reply: SendUpdate): void {
-    if (update.type === 'target-ends') this.onEnds(update.ends, reply);
+    if (update.type === 'target-ends') this.onCrashes(update.ends, reply);
     else this.onCleared(update.requests);
   }
 
-  private onEnds(ends: readonly TargetEnd[], reply: SendUpdate): void {
+  private onCrashes(crashes: readonly TargetEnd[], reply: SendUpdate): void {
     this.table.expire(this.options.clock.now());
-    const all = ends.flatMap(({ requests }) => requests);
+    const all = crashes.flatMap(({ requests }) => requests);
     const cleared = all.filter((request) => this.table.isServed(request));
     if (cleared.length > 0) reply({ type: 'requests-cleared', requests: cleared });
-    const fresh = ends
-      .map((end) => ({ ...end, requests: this.takeEnd(end) }))
+    const added = crashes
+      .map((crash) => ({ ...crash, requests: this.recordCrash(crash) }))
       .filter(({ requests }) => requests.length > 0);
-    if (fresh.length > 0) this.options.broadcast({ type: 'target-ends', ends: fresh });
+    if (added.length > 0) this.options.broadcast({ type: 'target-ends', ends: added });
   }
 
   private onCleared(requests: readonly RequestKey[]): void {
@@ -142,15 +141,15 @@
     this.options.broadcast({ type: 'requests-cleared', requests: cleared });
   }
 
-  /** Returns the requests for which the end was not known. */
-  private takeEnd(end: TargetEnd): readonly RequestKey[] {
+  /** Records a crash; returns the requests for which it was not known before. */
+  private recordCrash(crash: TargetEnd): readonly RequestKey[] {
     const now = this.options.clock.now();
-    const fresh = this.table.noteEnd(now, end);
-    for (const request of fresh) {
+    const added = this.table.noteEnd(now, crash);
+    for (const request of added) {
       const verdict = this.table.check(now, request);
       if (verdict.type !== 'free') this.logVerdict(request, verdict);
     }
-    return fresh;
+    return added;
   }
 
   private logVerdict(
@@ -183,7 +182,7 @@
 function toFailure({ content }: RequestKey, verdict: Verdict): Failure | undefined {
   if (verdict.type === 'free') return undefined;
   const { targets, retryAfterMs } = verdict;
-  const detail = `${targets.length} targets ended under this request (${content})`;
+  const detail = `${targets.length} targets crashed while they ran this request (${content})`;
   return createFailure(ResultCode.RequestQuarantined, detail, {
     execution: 'not-run',
     retryAfterMs,
@@ -191,7 +190,8 @@
 }
 
 function noTrialTarget(): Failure {
-  const detail = 'targets ended under this request, and the one for its next trial is not in reach';
+  const detail =
+    'targets crashed while they ran this request; the target for its next trial is unreachable';
   return createFailure(ResultCode.RequestQuarantined, detail, {
     execution: 'not-run',
     retryAfterMs: NO_TRIAL_RETRY_MS,
--- a/src/sidecar/rules/route-table.ts
+++ b/src/sidecar/rules/route-table.ts
@@ -44,8 +44,8 @@
   private add(rules: RouteRules): void {
     const host = normalizeHost(rules.host);
     const routes = this.byHost.get(host) ?? new Map<string, Route>();
-    const turns = new WeightedRoundRobin(rules.shares);
-    routes.set(rules.pathPrefix, { rules, nextService: () => turns.next() });
+    const roundRobin = new WeightedRoundRobin(rules.shares);
+    routes.set(rules.pathPrefix, { rules, nextService: () => roundRobin.next() });
     this.byHost.set(host, routes);
   }
 }
