--- a/src/sidecar/quota/early-counting.test.ts
+++ b/src/sidecar/quota/early-counting.test.ts
@@ -10,16 +10,16 @@
 
 interface Fleet {
   readonly clock: ManualClock;
-  /** Groups that were begun, by node. */
-  readonly begun: Map<string, number[]>;
+  /** Groups whose counting was started, by node. */
+  readonly started: Map<string, number[]>;
   tenants: readonly string[] | undefined;
   readonly members: EarlyCounting[];
 }
 
 function startFleet(tenants: readonly string[] | undefined): Fleet {
   const clock = new ManualClock();
-  const begun = new Map(NODES.map((node) => [node, [] as number[]]));
-  const fleet: Fleet = { clock, begun, tenants, members: [] };
+  const started = new Map(NODES.map((node) => [node, [] as number[]]));
+  const fleet: Fleet = { clock, started, tenants, members: [] };
   for (const node of NODES) {
     const counting = new EarlyCounting({
       node,
@@ -27,7 +27,7 @@
       limitedTenants: () => fleet.tenants,
       candidates: () => NODES,
       begin: (group) => {
-        begun.get(node)!.push(group);
+        started.get(node)!.push(group);
         return Promise.resolve();
       },
     });
@@ -37,32 +37,32 @@
   return fleet;
 }
 
-function allBegun({ begun }: Fleet): readonly number[] {
-  return [...begun.values()].flat().toSorted();
+function allStarted({ started }: Fleet): readonly number[] {
+  return [...started.values()].flat().toSorted();
 }
 
-test('each group is begun once, by one node, without a request', () => {
+test('one node starts counting each group, once and without a request', () => {
   const fleet = startFleet(TENANTS);
   fleet.clock.advance(LONG_MS);
   const groups = Array.from({ length: QUOTA_GROUPS }, (_, group) => group);
-  assert.deepEqual(allBegun(fleet), groups);
+  assert.deepEqual(allStarted(fleet), groups);
 });
 
-test('only groups of tenants with a limit are begun', () => {
+test('starts counting only groups of tenants with a limit', () => {
   const fleet = startFleet(TENANTS.slice(0, 1));
   fleet.clock.advance(LONG_MS);
-  assert.deepEqual(allBegun(fleet), [groupOfTenant(TENANTS[0]!)]);
+  assert.deepEqual(allStarted(fleet), [groupOfTenant(TENANTS[0]!)]);
 });
 
-test('nothing is begun without a limit, before rules are known, or after a stop', () => {
+test('starts counting nothing without a limit, before rules are known, or after a stop', () => {
   const unlimited = startFleet([]);
   unlimited.clock.advance(LONG_MS);
-  assert.deepEqual(allBegun(unlimited), []);
+  assert.deepEqual(allStarted(unlimited), []);
   const unknown = startFleet(undefined);
   unknown.clock.advance(LONG_MS);
-  assert.deepEqual(allBegun(unknown), []);
+  assert.deepEqual(allStarted(unknown), []);
   unknown.tenants = TENANTS;
   for (const member of unknown.members) member.stop();
   unknown.clock.advance(LONG_MS);
-  assert.deepEqual(allBegun(unknown), []);
+  assert.deepEqual(allStarted(unknown), []);
 });
--- a/src/sidecar/quota/early-counting.ts
+++ b/src/sidecar/quota/early-counting.ts
@@ -1,16 +1,16 @@
 /**
- * Begins to count limits before the first request asks for it. Buckets are empty when counting begins, so
- * that without it callers would be refused just when traffic begins.
+ * Starts counting tenants' limits before the first request needs it. Buckets are empty when counting starts;
+ * without an early start callers would be refused as soon as traffic starts.
  */
 import type { CancelTimer, Clock } from '../../kernel/clock.js';
 import { groupOfTenant, orderCandidates } from './quota-groups.js';
 
-/** Interval of looking for rules, in milliseconds. */
+/** Interval at which a node checks whether rules are known, in milliseconds. */
 const CHECK_INTERVAL_MS = 250;
-/** Time for the nodes of a starting fleet to find each other, in milliseconds. */
+/** Time for the nodes of a starting fleet to discover each other, in milliseconds. */
 const SETTLE_MS = 750;
 
-/** What early counting works with. */
+/** Settings and dependencies of {@link EarlyCounting}. */
 export interface EarlyCountingOptions {
   readonly node: string;
   readonly clock: Clock;
@@ -18,30 +18,30 @@
   limitedTenants(): readonly string[] | undefined;
   /** All nodes that can be asked to count, this one included. */
   candidates(): readonly string[];
-  /** Begins to count a group at this node, unless another one counts it. */
+  /** Starts counting a group at this node, unless another node counts it. */
   begin(group: number): Promise<void>;
 }
 
-/** See the module comment. */
+/** Starts counting once after rules are known. */
 export class EarlyCounting {
   private cancelTimer: CancelTimer = () => {};
 
   constructor(private readonly options: EarlyCountingOptions) {}
 
-  /** Waits for rules and begins the groups that this node is the first to be asked for, once. */
+  /** Waits for rules, then starts counting, once, the groups for which this node is asked first. */
   start(): void {
     this.schedule(CHECK_INTERVAL_MS, () => {
       if (this.options.limitedTenants() === undefined) this.start();
-      else this.beginAfterSettling();
+      else this.startAfterSettling();
     });
   }
 
-  /** Begins nothing any more. */
+  /** Cancels the start of counting if it is still pending. */
   stop(): void {
     this.cancelTimer();
   }
 
-  private beginAfterSettling(): void {
+  private startAfterSettling(): void {
     this.schedule(SETTLE_MS, () => {
       for (const group of this.ownGroups()) void this.options.begin(group);
     });
--- a/src/sidecar/quota/quota-counting.ts
+++ b/src/sidecar/quota/quota-counting.ts
@@ -1,4 +1,4 @@
-/** The groups of tenants whose limits this node counts; it begins to count one when it is asked to. */
+/** Counts the limits of groups of tenants at this node; starts counting a group when a node asks for it. */
 import {
   QuotaCounter,
   type QuotaGrant,
@@ -12,7 +12,7 @@
 import { QuotaLease } from './quota-lease.js';
 import type { OnQuotaReply, QuotaPort, QuotaQuestion } from './quota-messages.js';
 
-/** What the counting works with. */
+/** Settings and dependencies of {@link QuotaCounting}. */
 export interface QuotaCountingOptions {
   readonly node: string;
   readonly store: MetadataStore;
@@ -22,7 +22,7 @@
   limitOf(tenant: string): QuotaLimit | undefined | 'unknown';
 }
 
-/** Time after which callers of a tenant that is not known here may come back, in milliseconds. */
+/** Retry delay for callers of a tenant that this node's rules lack, in milliseconds. */
 const UNKNOWN_RETRY_MS = 200;
 
 interface Group {
@@ -30,7 +30,7 @@
   counter: QuotaCounter;
 }
 
-/** See the module comment. */
+/** Answers quota queries for the groups whose lease this node holds. */
 export class QuotaCounting implements QuotaPort {
   private readonly groups: readonly Group[];
 
@@ -38,24 +38,24 @@
     this.groups = Array.from({ length: QUOTA_GROUPS }, (_, group) => this.createGroup(group));
   }
 
-  askQuota(question: QuotaQuestion, onReply: OnQuotaReply): void {
-    const group = this.groups[question.group];
+  askQuota(query: QuotaQuestion, onReply: OnQuotaReply): void {
+    const group = this.groups[query.group];
     if (group === undefined) onReply({ type: 'not-counting' });
-    else if (group.lease.isHeld) onReply(this.reply(group, question));
-    else void this.beginThenReply(group, question, onReply);
+    else if (group.lease.isHeld) onReply(this.reply(group, query));
+    else void this.acquireThenReply(group, query, onReply);
   }
 
-  /** Begins to count a group before it is asked to. */
+  /** Starts counting a group before a query for it. */
   async begin(group: number): Promise<void> {
     await this.groups[group]?.lease.acquire();
   }
 
-  /** The store has come back from an older copy. */
+  /** Called when the store was restored from an older copy. */
   onStoreEraChanged(): void {
     for (const { lease } of this.groups) lease.reset();
   }
 
-  /** Gives up all groups. */
+  /** Releases all groups. */
   async close(): Promise<void> {
     await Promise.all(this.groups.map(({ lease }) => lease.close()));
   }
@@ -74,13 +74,13 @@
     return group;
   }
 
-  private async beginThenReply(
+  private async acquireThenReply(
     group: Group,
-    question: QuotaQuestion,
+    query: QuotaQuestion,
     onReply: OnQuotaReply,
   ): Promise<void> {
     await group.lease.acquire();
-    onReply(this.reply(group, question));
+    onReply(this.reply(group, query));
   }
 
   private reply(
--- a/src/sidecar/quota/quota-groups.ts
+++ b/src/sidecar/quota/quota-groups.ts
@@ -1,4 +1,4 @@
-/** Tenants are divided into groups; the limits of each group are counted by one node. */
+/** Assignment of tenants to groups; one node counts the limits of each group. */
 import { hashToUnit } from '../../core/admission/admission-priority.js';
 import { rankNodes } from '../../core/rendezvous.js';
 
@@ -10,7 +10,7 @@
   return Math.floor(hashToUnit(tenant) * QUOTA_GROUPS);
 }
 
-/** Nodes in the order in which they are asked to count a group . */
+/** Nodes in the order in which they are asked to count a group. */
 export function orderCandidates(group: number, nodes: readonly string[]): readonly string[] {
   return rankNodes(`quota ${group}`, nodes);
 }
--- a/src/sidecar/quota/quota-lease.test.ts
+++ b/src/sidecar/quota/quota-lease.test.ts
@@ -1,4 +1,4 @@
-/** The lease of a counting node, with a store in memory and a manual clock. */
+/** Tests the lease of a counting node, with a store in memory and a manual clock. */
 import assert from 'node:assert/strict';
 import { beforeEach, test } from 'node:test';
 import { Result } from 'true-myth';
@@ -8,22 +8,22 @@
 import { QuotaLease } from './quota-lease.js';
 
 const KEY = 'sillshore/quota/2';
-const AWAY = { cause: 'unknown', detail: 'away' } as const;
+const UNAVAILABLE = { cause: 'unknown', detail: 'unavailable' } as const;
 
-/** One key, and leases that end when they are told to. */
+/** A store with one key, whose leases expire when the test expires them. */
 class OneKeyStore implements Partial<MetadataStore> {
   item: StoreItem | undefined;
-  isAway = false;
+  isUnavailable = false;
   private revision = 0;
   private lastLease = 0;
   private readonly leases = new Set<string>();
 
   read(): ReturnType<MetadataStore['read']> {
-    return Promise.resolve(this.isAway ? Result.err(AWAY) : Result.ok(this.item));
+    return Promise.resolve(this.isUnavailable ? Result.err(UNAVAILABLE) : Result.ok(this.item));
   }
 
   grantLease(ttlMs: number): ReturnType<MetadataStore['grantLease']> {
-    if (this.isAway) return Promise.resolve(Result.err(AWAY));
+    if (this.isUnavailable) return Promise.resolve(Result.err(UNAVAILABLE));
     this.lastLease += 1;
     const id = String(this.lastLease);
     this.leases.add(id);
@@ -31,11 +31,13 @@
   }
 
   keepLease(id: string): ReturnType<MetadataStore['keepLease']> {
-    return Promise.resolve(this.isAway ? Result.err(AWAY) : Result.ok(this.leases.has(id)));
+    return Promise.resolve(
+      this.isUnavailable ? Result.err(UNAVAILABLE) : Result.ok(this.leases.has(id)),
+    );
   }
 
   transact({ conditions, puts }: StoreTransaction): ReturnType<MetadataStore['transact']> {
-    if (this.isAway) return Promise.resolve(Result.err(AWAY));
+    if (this.isUnavailable) return Promise.resolve(Result.err(UNAVAILABLE));
     if (conditions[0]!.revision !== (this.item?.revision ?? 0)) {
       return Promise.resolve(Result.ok({ type: 'conflict' }));
     }
@@ -44,7 +46,7 @@
     return Promise.resolve(Result.ok({ type: 'committed', revision: this.revision }));
   }
 
-  endLeases(): void {
+  expireLeases(): void {
     this.leases.clear();
     this.item = undefined;
   }
@@ -52,12 +54,12 @@
 
 let clock: ManualClock;
 let store: OneKeyStore;
-let begun: number;
+let acquisitions: number;
 
 beforeEach(() => {
   clock = new ManualClock();
   store = new OneKeyStore();
-  begun = 0;
+  acquisitions = 0;
 });
 
 function createLease(node: string): QuotaLease {
@@ -68,7 +70,7 @@
     clock,
     log: silentEventLog,
     onAcquired: () => {
-      begun += 1;
+      acquisitions += 1;
     },
   });
 }
@@ -80,7 +82,7 @@
   }
 }
 
-test('the first node that asks holds the key, and others are told', async () => {
+test('the first node that acquires the key holds it, and others learn its holder', async () => {
   const [first, second] = [createLease('a'), createLease('b')];
   await first.acquire();
   await second.acquire();
@@ -89,54 +91,54 @@
   assert.equal(second.holder, 'a');
 });
 
-test('the holder renews, and goes on counting with what it has counted', async () => {
+test('the holder renews the lease and keeps its counts', async () => {
   const lease = createLease('a');
   await lease.acquire();
   await pass(20_000);
   assert.equal(lease.isHeld, true);
-  assert.equal(begun, 1);
+  assert.equal(acquisitions, 1);
 });
 
-test('a holder that the store does not answer stops by its own clock', async () => {
+test('a holder that gets no answer from the store stops by its own clock', async () => {
   const lease = createLease('a');
   await lease.acquire();
-  store.isAway = true;
+  store.isUnavailable = true;
   await pass(3_900);
   assert.equal(lease.isHeld, false);
-  store.isAway = false;
+  store.isUnavailable = false;
   await pass(1_100);
   assert.equal(lease.isHeld, true);
-  assert.equal(begun, 1, 'the same lease went on: nobody else has counted');
+  assert.equal(acquisitions, 1, 'the same lease continued: no other node has counted');
 });
 
-test('a suspension counts', async () => {
+test('time for which the machine was suspended counts against the lease', async () => {
   const lease = createLease('a');
   await lease.acquire();
   clock.suspend(4_000);
   assert.equal(lease.isHeld, false);
 });
 
-test('a holder whose lease has ended begins anew, if it is the first', async () => {
+test('a holder whose lease has expired acquires the key again only if it is first', async () => {
   const [first, second] = [createLease('a'), createLease('b')];
   await first.acquire();
-  store.endLeases();
+  store.expireLeases();
   await pass(1_100);
   assert.equal(first.isHeld, false);
   await second.acquire();
   await first.acquire();
   assert.deepEqual([first.isHeld, second.isHeld], [false, true]);
-  assert.equal(begun, 2);
+  assert.equal(acquisitions, 2);
 });
 
-test('a restarted node adopts its key and begins with nothing counted', async () => {
+test('a restarted node continues its lease and starts counting from zero', async () => {
   await createLease('a').acquire();
   const restarted = createLease('a');
   await restarted.acquire();
   assert.equal(restarted.isHeld, true);
-  assert.equal(begun, 2);
+  assert.equal(acquisitions, 2);
 });
 
-test('a key that is given up is free at once', async () => {
+test('a released key can be acquired at once', async () => {
   const [first, second] = [createLease('a'), createLease('b')];
   await first.acquire();
   await first.close();
@@ -144,15 +146,15 @@
   assert.deepEqual([first.isHeld, second.isHeld], [false, true]);
 });
 
-test('in a new era of the store only the holder of before may begin at once', async () => {
+test('in a new era of the store only the former holder can acquire the key at once', async () => {
   const [first, second] = [createLease('a'), createLease('b')];
   await first.acquire();
-  store.endLeases();
-  // Attempts keep a distance.
+  store.expireLeases();
+  // There is a minimum time between attempts.
   await pass(200);
   for (const lease of [first, second]) lease.reset();
   await second.acquire();
-  assert.equal(second.isHeld, false, 'the holder may not have heard of the era');
+  assert.equal(second.isHeld, false, 'the former holder may not know the new era yet');
   await first.acquire();
   assert.equal(first.isHeld, true);
 });
--- a/src/sidecar/quota/quota-lease.ts
+++ b/src/sidecar/quota/quota-lease.ts
@@ -1,63 +1,64 @@
 /**
- * Which node counts the limits of a group of tenants: the one that holds the group's key in the store, under
- * a lease. The holder stops by its own clock before the lease can end, so that two never count at once.
+ * Decides which node counts the limits of a group of tenants: the holder of the group's key in the store,
+ * under a lease. The holder stops by its own clock before the lease can expire, so that two nodes never count
+ * at the same time.
  */
 import type { Clock } from '../../kernel/clock.js';
 import { Event, type EventLog } from '../../kernel/event.js';
 import type { MetadataStore, StoreItem } from '../../store/metadata-store.js';
 
-/** Life of the lease, in milliseconds: so long nobody counts after a holder is lost for good. */
+/** TTL of the lease, in milliseconds; after a holder has failed, no node counts for this long. */
 const LEASE_TTL_MS = 4_000;
-/** The holder stops so much earlier, in milliseconds. */
+/** The holder stops counting this long before the lease can expire, in milliseconds. */
 const LEASE_MARGIN_MS = 200;
 const RENEW_INTERVAL_MS = 1_000;
-/** Shortest time between attempts to become the holder, in milliseconds. */
+/** Minimum time between attempts to become the holder, in milliseconds. */
 const ATTEMPT_INTERVAL_MS = 200;
-/** Value of a key whose holder has given it up. */
+/** Value of a key that its holder has released. */
 const NO_HOLDER = '';
 const KEY_PREFIX = 'sillshore/quota/';
 
-/** What a lease is made from. */
+/** Settings, dependencies and callbacks of a {@link QuotaLease}. */
 export interface QuotaLeaseOptions {
   readonly group: number;
   readonly node: string;
   readonly store: MetadataStore;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** This node begins to count: nothing that was counted before is known here. */
+  /** Called when this node starts counting; it knows nothing of what was counted before. */
   onAcquired(): void;
 }
 
-/** See the module comment. */
+/** Lease of one group, as seen by this node. */
 export class QuotaLease {
   private lease: string | undefined;
   private revision = 0;
-  /** Boot time of the last question that the store answered with a yes. */
+  /** Boot time of the last request to the store that confirmed the lease. */
   private confirmedAt = -Infinity;
   private attempt: Promise<void> | undefined;
   private lastAttemptAt = -Infinity;
-  /** Boot time before which another node may count without being in the store. */
-  private othersUntil = -Infinity;
+  /** Boot time until which another node may still count without holding the key in the store. */
+  private othersMayCountUntil = -Infinity;
   private knownHolder: string | undefined;
   private cancelRenewal: () => void = () => {};
   private closed = false;
 
   constructor(private readonly options: QuotaLeaseOptions) {}
 
-  /** Whether this node counts now. */
+  /** Whether this node holds the lease, and so counts, now. */
   get isHeld(): boolean {
     if (this.lease === undefined) return false;
     return this.options.clock.bootNow() - this.confirmedAt < LEASE_TTL_MS - LEASE_MARGIN_MS;
   }
 
-  /** The node that held it when the store was last asked; undefined: none, or not known. */
+  /** The node that held the key when the store was last read; undefined: none, or unknown. */
   get holder(): string | undefined {
     return this.knownHolder;
   }
 
-  /** Tries to become the holder; resolves when that has succeeded or failed. */
+  /** Tries to become the holder; resolves whether this succeeded or failed. */
   acquire(): Promise<void> {
-    if (this.closed || this.isHeld || this.isAwaitingOthers) return Promise.resolve();
+    if (this.closed || this.isHeld || this.isWaitingForOthers) return Promise.resolve();
     const { clock } = this.options;
     if (this.attempt === undefined && clock.now() - this.lastAttemptAt >= ATTEMPT_INTERVAL_MS) {
       this.lastAttemptAt = clock.now();
@@ -69,15 +70,15 @@
   }
 
   /**
-   * The store has come back from an older copy, which may lack the key. Whoever held it may not have heard of
-   * that yet; only that node can hold it again at once.
+   * Called when the store was restored from an older copy, which may lack the key. The former holder may not
+   * know this yet and still count; only the former holder may acquire the key again at once.
    */
   reset(): void {
-    if (!this.isHeld) this.othersUntil = this.options.clock.bootNow() + LEASE_TTL_MS;
-    this.lose('the store has come back from an older copy');
+    if (!this.isHeld) this.othersMayCountUntil = this.options.clock.bootNow() + LEASE_TTL_MS;
+    this.lose('the store was restored from an older copy');
   }
 
-  /** Gives it up, so that another can take it at once. */
+  /** Releases the key, so that another node can acquire it at once. */
   async close(): Promise<void> {
     this.closed = true;
     this.cancelRenewal();
@@ -86,8 +87,8 @@
     await this.write(NO_HOLDER, undefined);
   }
 
-  private get isAwaitingOthers(): boolean {
-    return this.options.clock.bootNow() < this.othersUntil;
+  private get isWaitingForOthers(): boolean {
+    return this.options.clock.bootNow() < this.othersMayCountUntil;
   }
 
   private get key(): string {
@@ -106,7 +107,7 @@
     else if (holder === NO_HOLDER) await this.take(item?.revision ?? 0);
   }
 
-  /** An earlier process of this node, or this one, holds the key. */
+  /** Continues a lease that this process or an earlier process of this node holds. */
   private async adopt(item: StoreItem, askedAt: number): Promise<void> {
     if (item.lease === undefined) return;
     const kept = await this.options.store.keepLease(item.lease);
@@ -123,7 +124,7 @@
     if (written !== undefined) this.onHeld(granted.value.id, written, askedAt);
   }
 
-  /** @returns revision of the write; undefined when it was not done, or that is not known */
+  /** @returns revision of the write; undefined when it failed or its outcome is unknown */
   private async write(holder: string, lease: string | undefined): Promise<number | undefined> {
     const { key } = this;
     const value = Buffer.from(holder);
@@ -137,7 +138,7 @@
   private onHeld(lease: string, revision: number, askedAt: number): void {
     if (this.closed) return;
     const { group, node, log, onAcquired } = this.options;
-    // The same lease without a gap in its life: nobody else has counted meanwhile.
+    // The same lease without a gap: no other node has counted in the meantime.
     const isSame = lease === this.lease;
     this.lease = lease;
     this.revision = revision;
@@ -164,7 +165,7 @@
     const kept = await this.options.store.keepLease(lease);
     if (lease !== this.lease) return;
     if (kept.isOk && !kept.value) {
-      this.lose('the lease has ended');
+      this.lose('the lease has expired');
       return;
     }
     if (kept.isOk) this.confirmedAt = askedAt;
--- a/src/sidecar/quota/quota-messages.ts
+++ b/src/sidecar/quota/quota-messages.ts
@@ -1,22 +1,22 @@
-/** What nodes say to the node that counts limits. */
+/** Messages between a node and the node that counts tenants' limits. */
 import type { QuotaGrant, QuotaRequest } from '../../core/quota/quota-counter.js';
 
-/** Asks for requests of tenants of one group. */
+/** Asks for grants for requests of one group's tenants. */
 export interface QuotaQuestion {
   readonly group: number;
   readonly requests: readonly QuotaRequest[];
 }
 
-/** The reply to a question. */
+/** Reply to a query. */
 export type QuotaReply =
   | { readonly type: 'grants'; readonly grants: readonly QuotaGrant[] }
-  /** The node asked does not count the group; `holder` does, if it is known. */
+  /** The queried node does not count the group; `holder` does, if it is known. */
   | { readonly type: 'not-counting'; readonly holder?: string };
 
-/** Takes the reply to a question; called once, or never when the question or the reply is lost. */
+/** Handles the reply to a query; called once, or never when the query or the reply is lost. */
 export type OnQuotaReply = (reply: QuotaReply) => void;
 
-/** Where questions are sent: the own counting, or a link to another node. */
+/** Destination of queries: the counting of this node, or a link to another node. */
 export interface QuotaPort {
   askQuota(question: QuotaQuestion, onReply: OnQuotaReply): void;
 }
--- a/src/sidecar/quota/tenant-quotas.ts
+++ b/src/sidecar/quota/tenant-quotas.ts
@@ -1,4 +1,4 @@
-/** Asks the nodes that count for the requests of tenants that begin at this node. */
+/** Requests grants for the requests of tenants that enter at this node, from the nodes that count limits. */
 import {
   QuotaShare,
   type OnQuotaDecision,
@@ -10,63 +10,63 @@
 import { groupOfTenant, orderCandidates, QUOTA_GROUPS } from './quota-groups.js';
 import type { QuotaPort, QuotaReply } from './quota-messages.js';
 
-/** Time after which a question counts as lost, in milliseconds: a busy node may take some of it. */
+/** Time after which a query counts as lost, in milliseconds; a busy node may take some of it to reply. */
 const REPLY_TIMEOUT_MS = 400;
 /** Pause before another node is asked, in milliseconds. */
 const RETRY_MS = 50;
 
-/** What the quotas work with. */
+/** Dependencies of {@link TenantQuotas}. */
 export interface TenantQuotasOptions {
   readonly clock: Clock;
   allowance(): QuotaAllowance;
-  /** All nodes that can be asked, this one included. */
+  /** All nodes that can be queried, this one included. */
   candidates(): readonly string[];
-  /** Way to a node; undefined: it is not reached. */
+  /** Port to a node; undefined while the node is unreachable. */
   portOf(node: string): QuotaPort | undefined;
 }
 
-/** See the module comment. */
+/** Admits requests of tenants within their limits. */
 export class TenantQuotas {
-  private readonly groups: readonly GroupQuestions[];
+  private readonly groups: readonly GroupQueries[];
 
   constructor(options: TenantQuotasOptions) {
     this.groups = Array.from(
       { length: QUOTA_GROUPS },
-      (_, group) => new GroupQuestions(group, options),
+      (_, group) => new GroupQueries(group, options),
     );
   }
 
   /**
-   * Decides whether a request of a tenant may begin.
+   * Decides whether a request of a tenant may run.
    *
-   * @returns ends the wait without a decision
+   * @returns function that cancels the wait without a decision
    */
   admit(tenant: string, limit: QuotaLimit, onDecision: OnQuotaDecision): () => void {
     return this.groups[groupOfTenant(tenant)]!.admit(tenant, limit, onDecision);
   }
 
-  /** A request that was granted has not run. */
+  /** Returns the grant of a request that was not run. */
   giveBack(token: QuotaToken): void {
     this.groups[groupOfTenant(token.tenant)]!.share.giveBack(token);
   }
 
-  /** Asks nobody any more. */
+  /** Sends no further queries. */
   close(): void {
     for (const group of this.groups) group.close();
   }
 }
 
-/** The questions about one group; one at a time is under way. */
-class GroupQuestions {
+/** Queries about one group; at most one is in progress. */
+class GroupQueries {
   readonly share: QuotaShare;
   private cancelTimer: CancelTimer | undefined;
-  /** Number of the question under way; undefined: none is. */
+  /** Number of the query in progress; undefined: none. */
   private current: number | undefined;
-  private lastQuestion = 0;
-  /** Node that counts, as far as this one knows. */
+  private lastQuery = 0;
+  /** Node that counts the group, as far as this node knows. */
   private holder: string | undefined;
-  /** Nodes that did not count when they were asked, until one does. */
-  private readonly passedOver = new Set<string>();
+  /** Nodes that did not reply or did not count the group when queried; cleared when one does. */
+  private readonly skippedNodes = new Set<string>();
   private closed = false;
 
   constructor(
@@ -81,9 +81,9 @@
 
   admit(tenant: string, limit: QuotaLimit, onDecision: OnQuotaDecision): () => void {
     const cancel = this.share.admit(tenant, limit, onDecision);
-    // While a timer runs, a node that did not reply is to be left alone for a moment.
+    // A running timer is the pause after a query without a reply; no query is sent before it ends.
     if (this.share.isWaiting && this.current === undefined && this.cancelTimer === undefined) {
-      this.ask();
+      this.sendQuery();
     }
     return cancel;
   }
@@ -93,15 +93,15 @@
     this.cancelTimer?.();
   }
 
-  private askLater(): void {
+  private scheduleQuery(): void {
     if (this.closed) return;
     this.cancelTimer = this.options.clock.schedule(RETRY_MS, () => {
       this.cancelTimer = undefined;
-      this.ask();
+      this.sendQuery();
     });
   }
 
-  private ask(): void {
+  private sendQuery(): void {
     if (this.closed || this.current !== undefined) return;
     this.share.endWaits();
     const requests = this.share.createRequests();
@@ -112,25 +112,25 @@
       this.onNoReply(node);
       return;
     }
-    this.lastQuestion += 1;
-    const question = this.lastQuestion;
-    this.current = question;
+    this.lastQuery += 1;
+    const query = this.lastQuery;
+    this.current = query;
     const askedAt = this.options.clock.bootNow();
-    this.scheduleTimeout(question, node);
+    this.scheduleTimeout(query, node);
     port.askQuota({ group: this.group, requests }, (reply) => {
-      if (this.current === question) this.onReply(node, reply, askedAt);
+      if (this.current === query) this.onReply(node, reply, askedAt);
     });
   }
 
-  /** A timer that fires late says that this node was held up, and the reply may lie unread. */
-  private scheduleTimeout(question: number, node: string, delayMs = REPLY_TIMEOUT_MS): void {
+  /** Allows more time when the timer fires late: this node was delayed, and the reply may be unread. */
+  private scheduleTimeout(query: number, node: string, delayMs = REPLY_TIMEOUT_MS): void {
     const { clock } = this.options;
     const dueAt = clock.now() + delayMs;
     this.cancelTimer = clock.schedule(delayMs, () => {
       this.cancelTimer = undefined;
-      if (this.current !== question) return;
-      const wasHeldUp = clock.now() - dueAt > RETRY_MS;
-      if (wasHeldUp) this.scheduleTimeout(question, node, RETRY_MS);
+      if (this.current !== query) return;
+      const wasDelayed = clock.now() - dueAt > RETRY_MS;
+      if (wasDelayed) this.scheduleTimeout(query, node, RETRY_MS);
       else this.onNoReply(node);
     });
   }
@@ -138,27 +138,27 @@
   private onReply(node: string, reply: QuotaReply, askedAt: number): void {
     if (reply.type === 'grants') {
       this.holder = node;
-      this.passedOver.clear();
-      this.endQuestion();
+      this.skippedNodes.clear();
+      this.endQuery();
       this.share.onGrants(reply.grants, askedAt);
-      this.ask();
+      this.sendQuery();
       return;
     }
     this.onNoReply(node);
     const { holder } = reply;
-    // Also one that has just not replied: it may have been busy, and nobody else will count.
+    // Also a node that has just not replied: it may have been busy, and no other node will count.
     if (holder !== node) this.holder = holder;
   }
 
   private onNoReply(node: string | undefined): void {
-    if (node !== undefined) this.passedOver.add(node);
+    if (node !== undefined) this.skippedNodes.add(node);
     if (this.holder === node) this.holder = undefined;
-    this.endQuestion();
+    this.endQuery();
     this.share.onNoAnswer();
-    this.askLater();
+    this.scheduleQuery();
   }
 
-  private endQuestion(): void {
+  private endQuery(): void {
     this.current = undefined;
     this.cancelTimer?.();
     this.cancelTimer = undefined;
@@ -167,9 +167,9 @@
   private chooseNode(): string | undefined {
     if (this.holder !== undefined) return this.holder;
     const ordered = orderCandidates(this.group, this.options.candidates());
-    const chosen = ordered.find((node) => !this.passedOver.has(node));
-    // All have been asked: begin anew.
-    if (chosen === undefined) this.passedOver.clear();
+    const chosen = ordered.find((node) => !this.skippedNodes.has(node));
+    // All nodes have been queried: start again.
+    if (chosen === undefined) this.skippedNodes.clear();
     return chosen ?? ordered[0];
   }
 }
