--- a/src/sidecar/tenants/request-authorizer.test.ts
+++ b/src/sidecar/tenants/request-authorizer.test.ts
@@ -61,38 +61,38 @@
   return result.authorization;
 }
 
-test('a request runs under the tenant that holds its key', () => {
+test('authorizes a request for the tenant that holds its key', () => {
   const result = authorize({ apiKey: 'key-b' });
   assert.ok(typeof result === 'object');
   assert.equal(result.tenant?.name, 'b');
   assert.equal(result.authorization?.tenant, 'b');
 });
 
-test('what goes to other nodes holds no key', () => {
+test('the authorization that is sent to other nodes contains no key', () => {
   assert.ok(!JSON.stringify(admitted()).includes('key-a'));
 });
 
-test('an unknown or missing key is refused as such', () => {
+test('rejects an unknown or missing key', () => {
   assert.equal(authorize({ apiKey: 'key-c' }), ResultCode.ApiKeyRejected);
   assert.equal(authorize({ apiKey: 'key-a, key-a' }), ResultCode.ApiKeyRejected);
   assert.equal(authorize({ apiKey: undefined }), ResultCode.ApiKeyRejected);
   assert.equal(authorize({ apiKey: '__proto__' }), ResultCode.ApiKeyRejected);
 });
 
-test('public routes, and rules without tenants, need no key and tell no tenant', () => {
+test('public routes, and rules without tenants, need no key and give no tenant', () => {
   assert.deepEqual(authorize({}, '/public/'), {});
   assert.deepEqual(authorize({ apiKey: undefined }, '/public/'), {});
   table = new RouteTable(rules(4));
   assert.deepEqual(authorize({ apiKey: undefined }), {});
 });
 
-test('calls of the own target bear no key, and only while it serves what they are for', () => {
+test('accepts calls of the local target without a key only while it serves their parent request', () => {
   const call = { apiKey: undefined, isCall: true };
   assert.deepEqual(authorize({ ...call, isParentRunning: true }), {});
   assert.equal(authorize(call), ResultCode.ParentUnknown);
 });
 
-test('without a recent confirmation no key is taken and none is called unknown', () => {
+test('neither accepts a key nor rejects it as unknown without a recent confirmation', () => {
   clock.advance(MAX_AGE_MS);
   assert.equal(authorize({}), ResultCode.RulesOutdated);
   assert.equal(authorize({ apiKey: 'key-c' }), ResultCode.RulesOutdated);
@@ -101,7 +101,7 @@
   assert.ok(typeof authorize({}) === 'object');
 });
 
-test('a key that was taken away, or has changed hands, ends what waits', () => {
+test('refuses waiting requests whose key was revoked or given to another tenant', () => {
   const authorization = admitted();
   assert.equal(authorizer.recheck(authorization, 1), undefined);
   table = new RouteTable(rules(4, [{ name: 'a', apiKeys: ['other'] }]));
@@ -110,20 +110,20 @@
   assert.equal(authorizer.recheck(authorization, 1)?.execution, 'not-run');
 });
 
-test('a node whose rules are older than those of the first check goes by that', () => {
+test('a node with older rules than the first check relies on the first check', () => {
   const authorization = { ...admitted(), rulesVersion: 9, tenant: 'new' };
   assert.equal(authorizer.recheck(authorization, 1), undefined);
   assert.equal(authorizer.recheck(authorization, 0)?.code, ResultCode.RulesOutdated);
 });
 
-test('after the time of the first check the own confirmation decides', () => {
+test('relies on its own confirmation when the first check is no longer valid', () => {
   const authorization = admitted();
   assert.equal(authorizer.recheck(authorization, 0), undefined);
   clock.advance(MAX_AGE_MS);
   assert.equal(authorizer.recheck(authorization, 0)?.code, ResultCode.RulesOutdated);
 });
 
-test('a key of two tenants refuses the rules as a whole', () => {
+test('rejects rules in which two tenants have the same key', () => {
   const both = [
     { name: 'a', apiKeys: ['key'] },
     { name: 'b', apiKeys: ['key'] },
--- a/src/sidecar/tenants/request-authorizer.ts
+++ b/src/sidecar/tenants/request-authorizer.ts
@@ -1,4 +1,4 @@
-/** Decides under which tenant a request may run, when it begins and again before it goes to a target. */
+/** Authorizes a request for a tenant: at its entry node, and again before it is sent to a target. */
 import { Result } from 'true-myth';
 import { createFailure, type Failure } from '../../core/failure.js';
 import { ResultCode } from '../../core/result-code.js';
@@ -7,29 +7,29 @@
 import type { RulesFreshness } from '../rules/rules-freshness.js';
 import type { TenantRules } from '../rules/routing-rules.js';
 
-/** Time after which a caller may ask again while keys cannot be checked, in milliseconds. */
+/** Retry delay for callers while API keys or the parent request cannot be checked, in milliseconds. */
 const OUTDATED_RETRY_MS = 500;
-/** The same when the rules change while the request is under way. */
+/** Retry delay for callers when the rules change while their request is in progress, in milliseconds. */
 const CHANGED_RETRY_MS = 50;
 
-/** What is known of a request from its head. */
+/** Facts about a request that its header gives. */
 export interface RequestHead {
   /** API key that the caller sent; undefined: none. */
   readonly apiKey: string | undefined;
-  /** Whether its identity is that of a call for a request that a target serves. */
+  /** Whether the request identifies itself as a call that a target makes for a request that it serves. */
   readonly isCall: boolean;
-  /** Whether the own target serves that request now. */
+  /** Whether the local target serves that request now. */
   readonly isParentRunning: boolean;
 }
 
-/** Who a request is for. */
+/** Result of a successful check. */
 export interface Authorized {
   /** Absent: the request needs no API key. */
   readonly tenant?: TenantRules;
   readonly authorization?: Authorization;
 }
 
-/** What the authorizer works with. */
+/** Dependencies of a {@link RequestAuthorizer}. */
 export interface RequestAuthorizerOptions {
   /** Rules in force; undefined: none. */
   table(): RouteTable | undefined;
@@ -38,13 +38,13 @@
 
 const WITHOUT_TENANT: Authorized = {};
 
-/** See the module comment. */
+/** Checks API keys against the rules in force. */
 export class RequestAuthorizer {
   constructor(private readonly options: RequestAuthorizerOptions) {}
 
   /**
-   * Checks a request where it begins. Calls that the own target makes for a request that it serves bear no
-   * key: that request was checked.
+   * Checks a request at its entry node. Calls that the local target makes for a request that it serves need no
+   * key, since that request was checked.
    */
   authorize(table: RouteTable, route: Route, head: RequestHead): Result<Authorized, Failure> {
     const { tenants } = table;
@@ -54,7 +54,7 @@
     const { apiKey } = head;
     if (apiKey === undefined && head.isCall) return Result.err(parentUnknown());
     const validForMs = this.options.freshness.remainingMs();
-    // Outdated rules may lack a key that was added; only current ones can say that it is unknown.
+    // Outdated rules may lack a key that was added: only recently confirmed rules can reject a key as unknown.
     if (validForMs <= 0) return Result.err(outdated());
     const tenant = apiKey === undefined ? undefined : tenants.holderOf(apiKey);
     if (apiKey === undefined || tenant === undefined) return Result.err(rejected(apiKey));
@@ -65,10 +65,10 @@
   }
 
   /**
-   * Checks a request again before a target gets it. A newer version may have come into force here, or the
-   * time for which the first check counts is over.
+   * Checks a request again before it is sent to a target. A newer version of the rules may have come into force
+   * at this node, or the first check may no longer be valid.
    *
-   * @param validForMs milliseconds for which the first check still counts
+   * @param validForMs milliseconds for which the first check is still valid
    */
   recheck(authorization: Authorization, validForMs: number): Failure | undefined {
     const { tenant, fingerprint, rulesVersion } = authorization;
@@ -82,24 +82,24 @@
 
 function rejected(apiKey: string | undefined): Failure {
   const detail =
-    apiKey === undefined ? 'the request bears no API key' : 'no tenant holds the API key';
+    apiKey === undefined ? 'the request has no API key' : 'no tenant holds the API key';
   return createFailure(ResultCode.ApiKeyRejected, detail, { execution: 'not-run' });
 }
 
 function outdated(): Failure {
-  const detail = 'it is not known whether API keys have been taken away';
+  const detail = 'the rules were not confirmed recently, so API keys may have been revoked';
   const options = { execution: 'not-run', retryAfterMs: OUTDATED_RETRY_MS } as const;
   return createFailure(ResultCode.RulesOutdated, detail, options);
 }
 
 function changed(): Failure {
-  const detail = 'the API key was taken away or has changed hands meanwhile';
+  const detail = 'the API key was revoked or given to another tenant while the request waited';
   const options = { execution: 'not-run', retryAfterMs: CHANGED_RETRY_MS } as const;
   return createFailure(ResultCode.RulesOutdated, detail, options);
 }
 
 function parentUnknown(): Failure {
-  const detail = 'the own target serves no request that the call is made for';
+  const detail = 'the local target does not serve the request for which this call is made';
   const options = { execution: 'not-run', retryAfterMs: OUTDATED_RETRY_MS } as const;
   return createFailure(ResultCode.ParentUnknown, detail, options);
 }
--- a/src/sidecar/tenants/tenant-table.ts
+++ b/src/sidecar/tenants/tenant-table.ts
@@ -1,15 +1,15 @@
-/** Tenants of one document of rules, found by API key. */
+/** Lookup of the tenants of one rules document, by API key and by name. */
 import { createHash } from 'node:crypto';
 import type { TenantRules } from '../rules/routing-rules.js';
 
-/** Length of a fingerprint, in characters of six bits each. */
+/** Length of a fingerprint, in base64url characters of six bits each. */
 const FINGERPRINT_LENGTH = 22;
 
-/** See the module comment. */
+/** Tenants of one rules document. */
 export class TenantTable {
   private readonly byKey = new Map<string, TenantRules>();
   private readonly byName = new Map<string, TenantRules>();
-  /** Fingerprints of the keys that were used, by key. */
+  /** Fingerprints computed so far, by key. */
   private readonly fingerprints = new Map<string, string>();
 
   constructor(tenants: readonly TenantRules[]) {
@@ -29,14 +29,14 @@
     return this.byName.get(name);
   }
 
-  /** Names of the tenants whose requests are limited. */
+  /** Names of the tenants with a limit. */
   get limited(): readonly string[] {
     return [...this.byName.values()]
       .filter(({ limit }) => limit !== undefined)
       .map(({ name }) => name);
   }
 
-  /** Digest that stands for an API key where the key itself must not be seen. */
+  /** Digest that identifies an API key where the key itself must not be visible. */
   fingerprintOf(apiKey: string): string {
     let fingerprint = this.fingerprints.get(apiKey);
     if (fingerprint === undefined) {
@@ -49,7 +49,7 @@
     return fingerprint;
   }
 
-  /** Whether a tenant holds the API key of this fingerprint. */
+  /** Whether a tenant holds the API key with this fingerprint. */
   isHeldBy(tenant: string, fingerprint: string): boolean {
     const keys = this.byName.get(tenant)?.apiKeys ?? [];
     return keys.some((key) => this.fingerprintOf(key) === fingerprint);
