--- a/src/sidecar/directory/node-directory.ts
+++ b/src/sidecar/directory/node-directory.ts
@@ -24,7 +24,6 @@
 import { gatherRecordsMs } from './watch-timing.js';
 import { decodeNodeRecord, NODE_RECORD_PREFIX, type NodeRecord } from './node-record.js';
 
-/** Settings, dependencies and callbacks of a {@link NodeDirectory}. */
 export interface NodeDirectoryOptions {
   /** This node; its record is not a peer's. */
   readonly node: string;
--- a/src/sidecar/directory/prefix-watch.ts
+++ b/src/sidecar/directory/prefix-watch.ts
@@ -6,7 +6,6 @@
 import type { StoreBackoff } from '../../store/store-backoff.js';
 import type { StoreEras } from '../../store/store-eras.js';
 
-/** Settings, dependencies and callbacks of a {@link PrefixWatch}. */
 export interface PrefixWatchOptions {
   readonly prefix: string;
   readonly store: MetadataStore;
--- a/src/sidecar/directory/record-publisher.ts
+++ b/src/sidecar/directory/record-publisher.ts
@@ -20,7 +20,6 @@
  */
 const MAX_ERA_REWRITE_DELAY_MS = 500;
 
-/** Settings and dependencies of a {@link RecordPublisher}. */
 export interface RecordPublisherOptions {
   readonly node: string;
   readonly store: MetadataStore;
--- a/src/sidecar/directory/target-lifecycle.ts
+++ b/src/sidecar/directory/target-lifecycle.ts
@@ -35,7 +35,6 @@
 /** Time limit of these probes, in milliseconds; after it the target has sent its own reports. */
 const RESTORE_TIMEOUT_MS = 1_500;
 
-/** Dependencies and callbacks of a {@link TargetLifecycle}. */
 export interface TargetLifecycleOptions {
   readonly registration: TargetRegistration;
   readonly publisher: RecordPublisher;
--- a/src/sidecar/directory/watch-timing.ts
+++ b/src/sidecar/directory/watch-timing.ts
@@ -1,6 +1,6 @@
 /**
- * Limits how often a node calls the store, by the number of nodes: the store serves each kind of call once
- * for every node, and each change of a record ends the waits of all nodes.
+ * Limits how often a node calls the store, by the number of nodes: a call that all nodes make reaches the store
+ * once for each node, and each change of a record ends the waits of all nodes.
  */
 
 /** Calls per second that all nodes of a fleet together make for one prefix while nothing changes. */
--- a/src/sidecar/quarantine/request-quarantine.ts
+++ b/src/sidecar/quarantine/request-quarantine.ts
@@ -21,7 +21,6 @@
 /** Maximum number of requests in one log line. */
 const MAX_LOGGED = 8;
 
-/** Dependencies of a {@link RequestQuarantine}. */
 export interface RequestQuarantineOptions {
   readonly clock: Clock;
   readonly log: EventLog;
--- a/src/sidecar/quota/early-counting.ts
+++ b/src/sidecar/quota/early-counting.ts
@@ -10,7 +10,6 @@
 /** Time for the nodes of a starting fleet to discover each other, in milliseconds. */
 const SETTLE_MS = 750;
 
-/** Settings and dependencies of {@link EarlyCounting}. */
 export interface EarlyCountingOptions {
   readonly node: string;
   readonly clock: Clock;
--- a/src/sidecar/quota/quota-counting.ts
+++ b/src/sidecar/quota/quota-counting.ts
@@ -12,7 +12,6 @@
 import { QuotaLease } from './quota-lease.js';
 import type { OnQuotaReply, QuotaPort, QuotaQuestion } from './quota-messages.js';
 
-/** Settings and dependencies of {@link QuotaCounting}. */
 export interface QuotaCountingOptions {
   readonly node: string;
   readonly store: MetadataStore;
--- a/src/sidecar/quota/quota-lease.ts
+++ b/src/sidecar/quota/quota-lease.ts
@@ -18,7 +18,6 @@
 const NO_HOLDER = '';
 const KEY_PREFIX = 'sillshore/quota/';
 
-/** Settings, dependencies and callbacks of a {@link QuotaLease}. */
 export interface QuotaLeaseOptions {
   readonly group: number;
   readonly node: string;
--- a/src/sidecar/quota/tenant-quotas.ts
+++ b/src/sidecar/quota/tenant-quotas.ts
@@ -15,7 +15,6 @@
 /** Pause before another node is asked, in milliseconds. */
 const RETRY_MS = 50;
 
-/** Dependencies of {@link TenantQuotas}. */
 export interface TenantQuotasOptions {
   readonly clock: Clock;
   allowance(): QuotaAllowance;
--- a/src/sidecar/rules/active-rules.ts
+++ b/src/sidecar/rules/active-rules.ts
@@ -8,7 +8,6 @@
 import { RouteTable } from './route-table.js';
 import { checkRules, type RoutingRules } from './routing-rules.js';
 
-/** Dependencies and callbacks of {@link ActiveRules}. */
 export interface ActiveRulesOptions {
   readonly log: EventLog;
   parse(document: Buffer): Result<RoutingRules, Failure>;
--- a/src/sidecar/rules/freshness-refresher.ts
+++ b/src/sidecar/rules/freshness-refresher.ts
@@ -20,7 +20,6 @@
 /** Time until the next attempt when nobody confirmed the rules, in milliseconds. */
 const RETRY_MS = 300;
 
-/** Settings and dependencies of a {@link FreshnessRefresher}. */
 export interface FreshnessRefresherOptions {
   readonly clock: Clock;
   readonly freshness: RulesFreshness;
@@ -40,7 +39,6 @@
   askPeers(): number;
 }
 
-/** Timer that renews the confirmation of the rules. */
 export class FreshnessRefresher {
   private cancelTimer: CancelTimer | undefined;
   private refreshing = false;
--- a/src/sidecar/rules/peer-rules-fetch.ts
+++ b/src/sidecar/rules/peer-rules-fetch.ts
@@ -12,7 +12,6 @@
 /** Number of offers that are kept; the oldest are dropped. */
 const MAX_OFFERS = 8;
 
-/** Dependencies of a {@link PeerRulesFetch}. */
 export interface PeerRulesFetchOptions {
   readonly clock: Clock;
   /** Version in force at this node; 0: none. */
--- a/src/sidecar/rules/rules-freshness.ts
+++ b/src/sidecar/rules/rules-freshness.ts
@@ -17,7 +17,6 @@
   readonly ageMs: number;
 }
 
-/** Settings and dependencies of {@link RulesFreshness}. */
 export interface RulesFreshnessOptions {
   readonly clock: Clock;
   readonly log: EventLog;
--- a/src/sidecar/tenants/request-authorizer.ts
+++ b/src/sidecar/tenants/request-authorizer.ts
@@ -29,7 +29,6 @@
   readonly authorization?: Authorization;
 }
 
-/** Dependencies of a {@link RequestAuthorizer}. */
 export interface RequestAuthorizerOptions {
   /** Rules in force; undefined: none. */
   table(): RouteTable | undefined;
--- a/src/sidecar/tenants/tenant-table.ts
+++ b/src/sidecar/tenants/tenant-table.ts
@@ -5,7 +5,6 @@
 /** Length of a fingerprint, in base64url characters of six bits each. */
 const FINGERPRINT_LENGTH = 22;
 
-/** Tenants of one rules document. */
 export class TenantTable {
   private readonly byKey = new Map<string, TenantRules>();
   private readonly byName = new Map<string, TenantRules>();
