--- a/src/sidecar/rules/rules-freshness.test.ts
+++ b/src/sidecar/rules/rules-freshness.test.ts
@@ -70,7 +70,7 @@
   assert.deepEqual(freshness.confirmation, { version: 7, ageMs: 550 });
 });
 
-test('a reset discards the confirmation', () => {
+test('discards the confirmation when the store was restored from an older copy', () => {
   freshness.confirm(7, clock.bootNow());
   freshness.reset();
   assert.ok(freshness.remainingMs() <= 0);
