--- a/src/sidecar/link/age-authorization.ts
+++ b/src/sidecar/link/age-authorization.ts
@@ -1,11 +1,11 @@
-/** How the authorization of a request ages on its way to a target. */
+/** Reduces the validity of an authorization by the time that its request has spent on the way to a target. */
 import type { AttemptCall, Authorization } from './link-messages.js';
 
-/** The authorization, if there is one, after this many milliseconds; for spreading into a call. */
+/** Returns the authorization, if any, as it is `elapsedMs` later, in a form to spread into a call. */
 export function ageAuthorization(
   authorization: Authorization | undefined,
-  passedMs: number,
+  elapsedMs: number,
 ): Pick<AttemptCall, 'authorization'> {
   if (authorization === undefined) return {};
-  return { authorization: { ...authorization, validForMs: authorization.validForMs - passedMs } };
+  return { authorization: { ...authorization, validForMs: authorization.validForMs - elapsedMs } };
 }
--- a/src/sidecar/link/attempt-port.ts
+++ b/src/sidecar/link/attempt-port.ts
@@ -1,27 +1,26 @@
-/** Where tries of requests are sent: the own target, or a link to the node beside another. */
+/** Port for sending attempts: to the local target, or over a link to another target's sidecar. */
 import type { AttemptCall, AttemptEnd, AttemptFailure } from './link-messages.js';
 import type { Execution, ResultCode } from '../../core/result-code.js';
 import type { AttemptOutcome } from '../../core/request.js';
 
 /**
- * Cancels a try.
+ * Cancels an attempt.
  *
- * @returns whether the target may have run it; false: it has not and never will
+ * @returns whether the target may have run it; false: the target has not run it and never will
  */
 export type CancelTry = () => boolean;
 
-/** Takes tries of requests. */
 export interface AttemptPort {
   /**
-   * Sends one try.
+   * Sends one attempt.
    *
-   * @param onEnd called exactly once, possibly before this returns, unless it is cancelled first
-   * @returns cancels the try; what it has begun at the target is broken off
+   * @param onEnd called exactly once, possibly before this returns, unless the attempt is cancelled first
+   * @returns cancels the attempt and aborts its exchange with the target
    */
   dispatch(call: AttemptCall, onEnd: (end: AttemptEnd) => void): CancelTry;
 }
 
-/** Makes a failure of a try that was never offered to a target. */
+/** Creates the failure of an attempt that was never offered to a target. */
 export function createNotOffered(
   outcome: AttemptOutcome,
   code: ResultCode,
@@ -34,7 +33,7 @@
   );
 }
 
-/** Makes a failure; `retryAfterMs` is left out when undefined. */
+/** Creates a failure; omits `retryAfterMs` when it is undefined. */
 export function createAttemptFailure(
   parts: {
     readonly outcome: AttemptOutcome;
--- a/src/sidecar/link/link-codec.test.ts
+++ b/src/sidecar/link/link-codec.test.ts
@@ -131,13 +131,13 @@
 ];
 
 for (const message of MESSAGES) {
-  test(`a message comes back as it was: ${message.type}`, () => {
+  test(`a message survives encoding and decoding: ${message.type}`, () => {
     assert.deepEqual(decodeMessage(encodeMessage(message)), message);
   });
 }
 
-const HEAD_ID = '9c41d07be2a35f68';
-const NESTED_ID = `${HEAD_ID}.08879da9ac6017fc.1122334455667788`;
+const ROOT_ID = '9c41d07be2a35f68';
+const NESTED_ID = `${ROOT_ID}.08879da9ac6017fc.1122334455667788`;
 
 function createNestedCall(attemptId: string, requestId: string): LinkMessage {
   const names = { service: 'huvo11a', kind: 'r-n2ctnfz', callerService: 'kafi81c' };
@@ -155,10 +155,10 @@
   return { type: 'call', id: 1_234, sentAt: 99.5, call: { ...call, ...rest } };
 }
 
-test('an identity that begins with that of the request at the head comes back as it was', () => {
+test('attempt ids with and without the root request id as prefix survive encoding and decoding', () => {
   for (const [attemptId, requestId] of [
-    [NESTED_ID, HEAD_ID],
-    [HEAD_ID, HEAD_ID],
+    [NESTED_ID, ROOT_ID],
+    [ROOT_ID, ROOT_ID],
     ['', ''],
     ['a', 'other'],
   ] as const) {
@@ -167,9 +167,9 @@
   }
 });
 
-test('frames stay small: bytes between zones are dear', () => {
-  // 358 and 246 bytes when identities went twice and the load as an array of BSON numbers.
-  assert.ok(encodeMessage(createNestedCall(NESTED_ID, HEAD_ID)).length <= 245);
+test('frames stay small, since traffic between zones is expensive', () => {
+  // The frames had 358 and 246 bytes when ids were sent twice and the load as an array of BSON numbers.
+  assert.ok(encodeMessage(createNestedCall(NESTED_ID, ROOT_ID)).length <= 245);
   const fields = ['X-Signature-01', '3e1b.07.5a2.600.0.c9f2a4d1', 'X-Load-of-Target', '3,0,8'];
   const answer = {
     type: 'answer',
@@ -181,31 +181,31 @@
   assert.ok(encodeMessage({ type: 'end', id: 1_234, clock: 99.5, end: answer }).length <= 150);
 });
 
-test('a large body passes', () => {
+test('a body of 3 MB survives encoding and decoding', () => {
   const document = Buffer.alloc(3 * 1024 * 1024, 7);
   const decoded = decodeMessage(encodeMessage({ type: 'rules', document }));
   assert.deepEqual(decoded, { type: 'rules', document });
   assert.deepEqual(decodeMessage(encodeMessage({ type: 'ping' })), { type: 'ping' });
 });
 
-test('a confirmation never looks younger than it was', () => {
+test('the age of a confirmation is rounded up', () => {
   const confirmation = { version: 9, ageMs: 12.2 };
   const decoded = decodeMessage(encodeMessage({ type: 'confirmation', question: 4, confirmation }));
   assert.deepEqual(decoded?.type === 'confirmation' && decoded.confirmation.ageMs, 13);
 });
 
-test('what is no message is told', () => {
+test('a malformed frame decodes to undefined', () => {
   assert.equal(decodeMessage(Buffer.from([5, 0, 0, 0, 0])), undefined);
   assert.equal(decodeMessage(Buffer.from([9, 9])), undefined);
 });
 
-test('the reckoned time at the other end is never late, and comes close', () => {
+test('the estimated peer time is never ahead and gets closer with each stamp', () => {
   const clock = new PeerClock();
   assert.equal(clock.at(5), 0);
-  clock.note(100, 1_000);
+  clock.noteStamp(100, 1_000);
   assert.equal(clock.at(150), 1_050);
-  clock.note(200, 1_090);
+  clock.noteStamp(200, 1_090);
   assert.equal(clock.at(200), 1_100);
-  clock.note(300, 1_230);
+  clock.noteStamp(300, 1_230);
   assert.equal(clock.at(300), 1_230);
 });
--- a/src/sidecar/link/link-codec.ts
+++ b/src/sidecar/link/link-codec.ts
@@ -1,16 +1,16 @@
 /**
- * The BSON form of messages between nodes. One frame is one BSON document; member names are short
- * because every call pays for them. See docs/design/new-machines.md, "Links".
+ * BSON encoding of messages between nodes. One frame is one BSON document; member names are short
+ * because they are sent with every call. See docs/design/new-machines.md, "Links".
  */
 import { deserialize, serialize, setInternalBufferSize } from 'bson';
 import type { AttemptOutcome, LoadReport } from '../../core/request.js';
 import type { RequestKey, TargetEnd } from '../../core/quarantine/suspect-table.js';
 import type { Execution, ResultCode } from '../../core/result-code.js';
 import {
-  questionFromDocument,
-  questionToDocument,
-  replyFromDocument,
-  replyToDocument,
+  quotaQueryFromDocument,
+  quotaQueryToDocument,
+  quotaReplyFromDocument,
+  quotaReplyToDocument,
 } from './quota-codec.js';
 import type { RulesConfirmation } from '../rules/rules-freshness.js';
 import type {
@@ -24,14 +24,14 @@
   RawFields,
 } from './link-messages.js';
 
-/** Largest frame, in bytes. */
+/** Largest accepted frame. */
 export const MAX_FRAME_BYTES = 68 * 1024 * 1024;
 
-/** Room of the codec's buffer for all but bodies, and for small bodies. */
+/** Default size of the codec's buffer; the size of a large body is added to it. */
 const CODEC_BUFFER_BYTES = 1024 * 1024;
 const FIELD_SEPARATOR = '\n';
 const KEY_SEPARATOR = ' ';
-const LOAD_NUMBERS = 6;
+const LOAD_VALUE_COUNT = 6;
 const FLOAT_BYTES = 4;
 const DESERIALIZE_OPTIONS = { promoteBuffers: true };
 const SERIALIZE_OPTIONS = { ignoreUndefined: true };
@@ -64,14 +64,14 @@
 export function encodeMessage(message: LinkMessage): Buffer {
   const document = toDocument(message);
   const size = 'b' in document ? (document['b'] as Uint8Array).length : 0;
-  // The codec's buffer grows with the largest message and then stays.
+  // The codec's buffer grows with the largest message and never shrinks by itself.
   if (size > CODEC_BUFFER_BYTES / 2) setInternalBufferSize(size + CODEC_BUFFER_BYTES);
   const frame = serialize(document, SERIALIZE_OPTIONS) as Buffer;
   if (size > CODEC_BUFFER_BYTES / 2) setInternalBufferSize(CODEC_BUFFER_BYTES);
   return frame;
 }
 
-/** Decodes a frame; undefined when it is no message. Binary members are views into the frame. */
+/** Decodes a frame; returns undefined when it is malformed. Binary members are views into the frame. */
 export function decodeMessage(frame: Buffer): LinkMessage | undefined {
   try {
     return fromDocument(deserialize(frame, DESERIALIZE_OPTIONS));
@@ -112,10 +112,14 @@
       return {
         t: FrameCode.QuotaWanted,
         i: message.question,
-        ...questionToDocument(message.wanted),
+        ...quotaQueryToDocument(message.wanted),
       };
     case 'quota-reply':
-      return { t: FrameCode.QuotaReply, i: message.question, ...replyToDocument(message.reply) };
+      return {
+        t: FrameCode.QuotaReply,
+        i: message.question,
+        ...quotaReplyToDocument(message.reply),
+      };
     case 'rules-wanted':
       return { t: FrameCode.RulesWanted };
     case 'rules':
@@ -135,7 +139,7 @@
     i: id,
     c: sentAt,
     a: call.attemptId,
-    // The identity of a call mostly begins with that of the request that it is made for.
+    // The id of an attempt mostly begins with that of its root request, so the length of the prefix suffices.
     q: call.attemptId.startsWith(call.requestId) ? call.requestId.length : call.requestId,
     s: call.service,
     k: call.kind,
@@ -183,10 +187,10 @@
   };
 }
 
-/** Six numbers of 4 bytes: an array of BSON numbers takes three times as much. */
+/** Encodes the load as six 4-byte numbers; an array of BSON numbers takes three times the space. */
 function loadToBytes(load: LoadReport): Uint8Array {
   const { inFlight, queued, limit, latencyMs, threshold, failureShare = 0 } = load;
-  const bytes = Buffer.allocUnsafe(LOAD_NUMBERS * FLOAT_BYTES);
+  const bytes = Buffer.allocUnsafe(LOAD_VALUE_COUNT * FLOAT_BYTES);
   [inFlight, queued, limit, latencyMs, threshold, failureShare].forEach((value, index) => {
     bytes.writeFloatLE(value, index * FLOAT_BYTES);
   });
@@ -226,9 +230,9 @@
     case FrameCode.Confirmation:
       return confirmationMessage(id, document);
     case FrameCode.QuotaWanted:
-      return { type: 'quota-wanted', question: id, wanted: questionFromDocument(document) };
+      return { type: 'quota-wanted', question: id, wanted: quotaQueryFromDocument(document) };
     case FrameCode.QuotaReply:
-      return { type: 'quota-reply', question: id, reply: replyFromDocument(document) };
+      return { type: 'quota-reply', question: id, reply: quotaReplyFromDocument(document) };
     case FrameCode.RulesWanted:
       return { type: 'rules-wanted' };
     case FrameCode.Rules:
@@ -249,24 +253,24 @@
 }
 
 function targetEndsFromDocument({ e: ends }: Document): readonly TargetEnd[] {
-  if (!Array.isArray(ends)) throw new TypeError('ends are no list');
+  if (!Array.isArray(ends)) throw new TypeError('target ends are not an array');
   return (ends as Document[]).map(({ l: target, a: ageMs, f: requests }) => {
     if (typeof target !== 'string' || typeof ageMs !== 'number' || !(ageMs >= 0)) {
-      throw new TypeError('an end without target or age');
+      throw new TypeError('target end without target or age');
     }
     return { target, ageMs, requests: keysFromDocument(requests) };
   });
 }
 
-/** The hash of the content holds no separator. */
+/** Joins the parts; the first separator ends the content, since a hash contains none. */
 function keyToText({ content, caller }: RequestKey): string {
   return content + KEY_SEPARATOR + caller;
 }
 
 function keysFromDocument(texts: unknown): readonly RequestKey[] {
-  if (!Array.isArray(texts)) throw new TypeError('requests are no list');
+  if (!Array.isArray(texts)) throw new TypeError('requests are not an array');
   return texts.map((text) => {
-    if (typeof text !== 'string') throw new TypeError('a request is no text');
+    if (typeof text !== 'string') throw new TypeError('request is not a string');
     const separator = text.indexOf(KEY_SEPARATOR);
     return { content: text.slice(0, separator), caller: text.slice(separator + 1) };
   });
@@ -285,7 +289,7 @@
 
 function confirmationToDocument(confirmation: RulesConfirmation | undefined): Document {
   if (confirmation === undefined) return {};
-  // Rounded up: a confirmation must never look younger than it is.
+  // Rounded up, since a confirmation must never seem more recent than it is.
   return { v: confirmation.version, g: Math.ceil(confirmation.ageMs) };
 }
 
--- a/src/sidecar/link/link-messages.ts
+++ b/src/sidecar/link/link-messages.ts
@@ -1,44 +1,44 @@
-/** Messages between nodes; `link-codec.ts` gives their form on the wire. */
+/** Messages between nodes; `link-codec.ts` defines their encoding. */
 import type { AttemptOutcome, LoadReport } from '../../core/request.js';
 import type { Execution, ResultCode } from '../../core/result-code.js';
 import type { RulesConfirmation } from '../rules/rules-freshness.js';
 import type { QuotaQuestion, QuotaReply } from '../quota/quota-messages.js';
 import type { QuarantineUpdate } from '../quarantine/quarantine-update.js';
 
-/** Header fields as Node reads them: names and values in turns. */
+/** Header fields in the format of Node.js `rawHeaders`: names and values alternate. */
 export type RawFields = readonly string[];
 
-/** Whether the target beside a node takes work, as its node knows it. */
+/** Whether a target takes work, as known to its sidecar. */
 export type TargetState = 'unknown' | 'ready' | 'leaving';
 
-/** What a node says of itself when a link opens, and again when it changes. */
+/** Status that a node sends when a link opens and whenever the status changes. */
 export interface NodeStatus {
   readonly node: string;
   readonly service: string;
   readonly target: TargetState;
-  /** Life of the target, as a text that differs from life to life; absent while none is known. */
+  /** Incarnation of the target, as text; absent while unknown. */
   readonly incarnation?: string;
-  /** Whether the target itself has said that it leaves; else `leaving` may mean its node. */
+  /** Set when the target itself reported that it leaves; otherwise `leaving` may refer to its node. */
   readonly targetLeft?: true;
   /** Version of the rules in force; 0: none. */
   readonly rulesVersion: number;
 }
 
-/** Under which tenant the node where a request began has admitted it. */
+/** The tenant under which the entry node admitted a request. */
 export interface Authorization {
   readonly tenant: string;
-  /** Digest of the API key, which itself never leaves the node where the request began. */
+  /** Digest of the API key; the key itself never leaves the entry node. */
   readonly fingerprint: string;
-  /** Version of the rules in which the tenant held the key. */
+  /** Version of the rules in which the key belonged to the tenant. */
   readonly rulesVersion: number;
-  /** Milliseconds, when the message was sent, until the key has to be checked anew. */
+  /** Milliseconds, from the sending of the message, until the key has to be checked again. */
   readonly validForMs: number;
 }
 
-/** One try of a request, on its way to the node beside the target. */
+/** One attempt of a request, as sent to the target's sidecar. */
 export interface AttemptCall {
   readonly attemptId: string;
-  /** Identity of the caller's request at the head of the chain of calls. */
+  /** Identity of the root request of the chain of calls. */
   readonly requestId: string;
   readonly service: string;
   /** Name of the route. */
@@ -48,15 +48,15 @@
   readonly idempotent: boolean;
   /** Service hops above this one. */
   readonly depth: number;
-  /** Whether this try, or a run above that makes the call, is a repeat. */
+  /** Whether this attempt, or an attempt above it in the chain of calls, is a retry. */
   readonly repeated: boolean;
-  /** Whether a call for the same run, or for one above, has been served. */
+  /** Whether a call of the parent attempt, or of an attempt above it, has been served. */
   readonly committed: boolean;
   /** Milliseconds left when the message was sent. */
   readonly timeLeftMs: number;
-  /** The same until the answer loses a part of its value; below 0 when that has happened. */
+  /** Milliseconds, at the same time, until the answer loses part of its value; negative if it already has. */
   readonly dueInMs: number;
-  /** Service of the machine on which the request began. */
+  /** Service that runs on the machine of the entry node. */
   readonly callerService: string;
   /** Absent: the request needs no API key. */
   readonly authorization?: Authorization;
@@ -67,18 +67,18 @@
   readonly body: Uint8Array;
 }
 
-/** The target's whole answer. */
+/** The target's complete answer. */
 export interface AttemptAnswer {
   readonly type: 'answer';
   readonly status: number;
   readonly fields: RawFields;
   readonly body: Uint8Array;
   readonly load?: LoadReport;
-  /** The run failed after a call below it had been refused for load. */
+  /** Set when the attempt failed after a call below it had been refused for load. */
   readonly refusedBelow?: true;
 }
 
-/** No answer of the target. */
+/** An attempt without an answer of the target. */
 export interface AttemptFailure {
   readonly type: 'failure';
   readonly outcome: AttemptOutcome;
@@ -91,15 +91,15 @@
   readonly load?: LoadReport;
 }
 
-/** How a try ended. */
+/** Result of an attempt. */
 export type AttemptEnd = AttemptAnswer | AttemptFailure;
 
-/** Everything that goes over a link. */
+/** Any message on a link. */
 export type LinkMessage =
-  /** First message of either side; `clock` is the sender's monotonic time, in milliseconds. */
+  /** First message on a connection; `clock` is the sender's monotonic time, in milliseconds. */
   | { readonly type: 'hello'; readonly status: NodeStatus; readonly clock: number }
   | { readonly type: 'status'; readonly status: NodeStatus }
-  /** `sentAt`: time at the receiver, as the sender reckons it; see {@link PeerClock}. */
+  /** `sentAt`: time of sending by the receiver's clock, as estimated by the sender; see {@link PeerClock}. */
   | {
       readonly type: 'call';
       readonly id: number;
@@ -107,20 +107,20 @@
       readonly call: AttemptCall;
     }
   | { readonly type: 'cancel'; readonly id: number }
-  /** `clock` as in a greeting. */
+  /** `clock` as in `hello`. */
   | {
       readonly type: 'end';
       readonly id: number;
       readonly clock: number;
       readonly end: AttemptEnd;
-      /** On answers to calls that need an API key: how recently the sender's rules were confirmed. */
+      /** For calls that need an API key: how recently the sender's rules were confirmed. */
       readonly confirmation?: RulesConfirmation;
     }
-  /** The receiver's own target has said in this life that it leaves, as the sender remembers. */
+  /** The receiver's target reported in this incarnation that it leaves, as recorded by the sender. */
   | { readonly type: 'target-left'; readonly incarnation: string }
   | { readonly type: 'ping' }
   | { readonly type: 'pong' }
-  /** Asks how recently the other node's rules were confirmed; the reply bears the number of the question. */
+  /** Requests how recently the receiver's rules were confirmed; the reply carries the same number. */
   | { readonly type: 'confirmation-wanted'; readonly question: number }
   | {
       readonly type: 'confirmation';
--- a/src/sidecar/link/link-server.test.ts
+++ b/src/sidecar/link/link-server.test.ts
@@ -99,7 +99,7 @@
   }
 }
 
-test('a call reaches the target with the time that is left', async () => {
+test('a call reaches the target with its remaining time', async () => {
   socket.write(encodeMessage({ type: 'call', id: 1, sentAt: clock.now() - 100, call: CALL }));
   while (dispatched.length === 0) await new Promise((resolve) => setTimeout(resolve, 1));
   assert.equal(dispatched[0]?.timeLeftMs, 900);
@@ -108,7 +108,7 @@
   assert.deepEqual([id, stamp], [1, clock.now()]);
 });
 
-test('a call that was too long on its way is refused as not run', async () => {
+test('a call with too long a transit time is refused as not run', async () => {
   const before = dispatched.length;
   socket.write(encodeMessage({ type: 'call', id: 2, sentAt: clock.now() - 500, call: CALL }));
   const { end } = await next('end');
@@ -117,7 +117,7 @@
   assert.equal(dispatched.length, before);
 });
 
-test('a question is answered, rules are sent, a call is cancelled', async () => {
+test('a ping is answered, rules are sent, a call is cancelled', async () => {
   socket.write(encodeMessage({ type: 'ping' }));
   await next('pong');
   socket.write(encodeMessage({ type: 'rules-wanted' }));
@@ -128,7 +128,7 @@
   assert.equal(cancelled, 1);
 });
 
-test('a node that has newer rules is asked for them', async () => {
+test('newer rules are requested from the node that has them', async () => {
   const status = { node: 'm', service: 't', target: 'unknown', rulesVersion: 2 } as const;
   socket.write(encodeMessage({ type: 'status', status }));
   await next('rules-wanted');
@@ -137,20 +137,20 @@
   assert.deepEqual(rules, ['newer']);
 });
 
-test('answers to calls that need an API key tell how recently the rules were confirmed', async () => {
+test('answers to calls that need an API key contain how recently the rules were confirmed', async () => {
   const authorization = { tenant: 't', fingerprint: 'f', rulesVersion: 1, validForMs: 300 };
   const before = dispatched.length;
   const sentAt = clock.now() - 100;
   socket.write(encodeMessage({ type: 'call', id: 90, sentAt, call: { ...CALL, authorization } }));
   while (dispatched.length === before) await new Promise((resolve) => setTimeout(resolve, 1));
-  assert.equal(dispatched.at(-1)?.authorization?.validForMs, 200, 'it ages on its way');
+  assert.equal(dispatched.at(-1)?.authorization?.validForMs, 200, 'the transit time is subtracted');
   answer?.({ type: 'answer', status: 200, fields: [], body: Buffer.alloc(0) });
   const { id, confirmation } = await next('end');
   const ageMs = clock.now() - CONFIRMED_AT_MS;
   assert.deepEqual([id, confirmation], [90, { version: 1, ageMs }]);
 });
 
-test('questions are answered under their numbers', async () => {
+test('replies carry the number of their request', async () => {
   socket.write(encodeMessage({ type: 'confirmation-wanted', question: 12 }));
   assert.equal((await next('confirmation')).question, 12);
   const requests = [{ tenant: 't', waiting: 2, ahead: 1, returned: 0 }];
@@ -161,7 +161,7 @@
   assert.deepEqual([question, reply], [13, { type: 'grants', grants }]);
 });
 
-test('the end of the connection cancels what runs for it', async () => {
+test('the end of a connection cancels its running calls', async () => {
   const before = dispatched.length;
   socket.write(encodeMessage({ type: 'call', id: 4, sentAt: clock.now(), call: CALL }));
   while (dispatched.length === before) await new Promise((resolve) => setTimeout(resolve, 1));
--- a/src/sidecar/link/link-server.ts
+++ b/src/sidecar/link/link-server.ts
@@ -1,4 +1,4 @@
-/** The accepting end of links: other nodes' calls for the own target. */
+/** The accepting end of links: serves other nodes' calls for the local target. */
 import { createServer, type AddressInfo, type Server } from 'node:net';
 import type { Clock } from '../../kernel/clock.js';
 import { ResultCode } from '../../core/result-code.js';
@@ -10,37 +10,36 @@
 import type { AttemptCall, AttemptEnd, LinkMessage, NodeStatus } from './link-messages.js';
 import { LinkSocket } from './link-socket.js';
 
-/** A call that took longer than this on its way is refused, in milliseconds. */
+/** Calls with a longer transit time are refused. */
 const MAX_TRANSIT_MS = 400;
 
-/** What the accepting end works with. */
 export interface LinkServerOptions {
   readonly clock: Clock;
   readonly target: AttemptPort;
-  /** What this node says of itself now. */
+  /** Returns this node's current status. */
   status(): NodeStatus;
-  /** The rules in force as a document; undefined: none. */
+  /** Returns the document of the rules in force; undefined: none. */
   rulesDocument(): Buffer | undefined;
   readonly quarantine: QuarantineExchange;
-  /** How recently the rules were confirmed; undefined: that is not known, or not asked for. */
+  /** Returns how recently the rules were confirmed; undefined: unknown, or not required. */
   rulesConfirmation(): RulesConfirmation | undefined;
   /** Counts the limits of tenants. */
   readonly quota: QuotaPort;
-  /** Life in which a node's target has left, as this node remembers; undefined: none. */
+  /** Returns the recorded incarnation in which a node's target has left; undefined: none. */
   leftTargetOf(node: string): string | undefined;
-  /** Another node remembers that the own target has left in this life. */
+  /** Called when another node reports that the local target has left in this incarnation. */
   onOwnTargetLeft(incarnation: string): void;
   /**
-   * Another node has said something about itself.
+   * Called with the status of another node.
    *
-   * @param requestRules asks it for its rules
+   * @param requestRules requests that node's rules
    */
   onPeerStatus(status: NodeStatus, requestRules: () => void): void;
-  /** The rules that were asked for. */
+  /** Called with rules that were requested. */
   onRules(document: Uint8Array): void;
 }
 
-/** See the module comment. */
+/** Accepts links of other nodes and dispatches their calls to the local target. */
 export class LinkServer {
   private readonly server: Server;
   private readonly connections = new Set<IncomingLink>();
@@ -53,7 +52,7 @@
     });
   }
 
-  /** Listens; resolves with the port. Rejects when the address cannot be bound. */
+  /** Starts to listen; resolves with the port. Rejects when the address cannot be bound. */
   listen(host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -64,29 +63,29 @@
     });
   }
 
-  /** Tells all connected nodes what this node now says of itself. */
+  /** Sends this node's status to all connected nodes. */
   announceStatus(): void {
     const status = this.options.status();
     for (const link of this.connections) link.send({ type: 'status', status });
   }
 
-  /** Tells all connected nodes of requests under which targets ended. */
+  /** Sends an update about requests that ran when targets crashed to all connected nodes. */
   sendUpdate(update: QuarantineUpdate): void {
     for (const link of this.connections) link.send(update);
   }
 
-  /** Refuses new connections and closes the others. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.server.close();
     for (const link of this.connections) link.close();
   }
 }
 
-/** One connection of another node. */
+/** One connection from another node. */
 class IncomingLink {
   private socket: LinkSocket | undefined;
   private readonly running = new Map<number, CancelTry>();
-  private toldLeft: string | undefined;
+  private sentLeftIncarnation: string | undefined;
 
   constructor(
     private readonly options: LinkServerOptions,
@@ -127,12 +126,12 @@
         this.sendConfirmation(message.question);
         break;
       case 'quota-wanted':
-        this.askQuota(message.question, message.wanted);
+        this.forwardQuotaQuery(message.question, message.wanted);
         break;
       case 'hello':
       case 'status':
-        this.tellLeftTarget(message.status.node);
-        // The other node's target is reached over a link of this node's own.
+        this.sendLeftTarget(message.status.node);
+        // The other node's target is reached over a link that this node opens itself.
         this.options.onPeerStatus(message.status, () => {
           this.send({ type: 'rules-wanted' });
         });
@@ -163,16 +162,16 @@
   private onCall({ id, sentAt, call }: Extract<LinkMessage, { type: 'call' }>): void {
     const transitMs = this.options.clock.now() - sentAt;
     if (transitMs > MAX_TRANSIT_MS) {
-      const detail = `the call was ${Math.round(transitMs)} ms on its way`;
+      const detail = `the call took ${Math.round(transitMs)} ms in transit`;
       const end = createNotOffered('unreachable', ResultCode.DeadlineUnreachable, detail);
       this.sendEnd(id, end, call);
       return;
     }
     let ended = false;
-    const passedMs = Math.max(0, transitMs);
-    const timeLeftMs = call.timeLeftMs - passedMs;
-    const dueInMs = call.dueInMs - passedMs;
-    const authorization = ageAuthorization(call.authorization, passedMs);
+    const elapsedMs = Math.max(0, transitMs);
+    const timeLeftMs = call.timeLeftMs - elapsedMs;
+    const dueInMs = call.dueInMs - elapsedMs;
+    const authorization = ageAuthorization(call.authorization, elapsedMs);
     const aged = { ...call, ...authorization, timeLeftMs, dueInMs };
     const cancel = this.options.target.dispatch(aged, (end) => {
       ended = true;
@@ -182,11 +181,11 @@
     if (!ended) this.running.set(id, cancel);
   }
 
-  /** Once on each connection: a node that has started anew may not know it. */
-  private tellLeftTarget(node: string): void {
+  /** Sends the incarnation once per connection, since a restarted node may not know it. */
+  private sendLeftTarget(node: string): void {
     const incarnation = this.options.leftTargetOf(node);
-    if (incarnation === undefined || this.toldLeft === incarnation) return;
-    this.toldLeft = incarnation;
+    if (incarnation === undefined || this.sentLeftIncarnation === incarnation) return;
+    this.sentLeftIncarnation = incarnation;
     this.send({ type: 'target-left', incarnation });
   }
 
@@ -197,7 +196,7 @@
     this.send(confirmation === undefined ? message : { ...message, confirmation });
   }
 
-  private askQuota(question: number, wanted: QuotaQuestion): void {
+  private forwardQuotaQuery(question: number, wanted: QuotaQuestion): void {
     this.options.quota.askQuota(wanted, (reply) => {
       this.send({ type: 'quota-reply', question, reply });
     });
--- a/src/sidecar/link/link-socket.ts
+++ b/src/sidecar/link/link-socket.ts
@@ -1,20 +1,20 @@
-/** One TCP connection between two nodes: framing, batched writes and the end of the connection. */
+/** One TCP connection between two nodes: framing, batched writes and close. */
 import type { Socket } from 'node:net';
 import { FrameReader } from '../../peer/frame-reader.js';
 import { decodeMessage, encodeMessage, MAX_FRAME_BYTES } from './link-codec.js';
 import type { LinkMessage } from './link-messages.js';
 
-/** Bytes that may wait for the socket; above it calls are refused, since the other end is stuck. */
+/** Largest write backlog; above it calls are refused, since the other end does not read. */
 const MAX_BACKLOG_BYTES = 8 * 1024 * 1024;
 
-/** What a connection tells its owner. */
+/** Callbacks of a connection. */
 export interface LinkSocketListener {
   onMessage(message: LinkMessage): void;
-  /** Called once, for whatever reason the connection ends. */
+  /** Called once when the connection closes, whatever the reason. */
   onClosed(detail: string): void;
 }
 
-/** See the module comment. */
+/** Sends and receives messages over one socket. */
 export class LinkSocket {
   private readonly reader = new FrameReader(MAX_FRAME_BYTES);
   private corked = false;
@@ -36,12 +36,12 @@
     });
   }
 
-  /** Whether the other end takes what is sent; otherwise nothing more should be. */
+  /** Whether more messages may be sent: the connection is open and its write backlog is below the maximum. */
   get hasRoom(): boolean {
     return !this.ended && this.socket.writableLength < MAX_BACKLOG_BYTES;
   }
 
-  /** Writes a message together with all others of this turn of the event loop. */
+  /** Writes a message, batched with all others of the same event loop iteration. */
   send(message: LinkMessage): void {
     if (this.ended) return;
     if (!this.corked) {
@@ -55,14 +55,14 @@
     this.socket.write(encodeMessage(message));
   }
 
-  /** Closes the connection after what has been written. */
+  /** Closes the connection after all pending data is written. */
   end(detail: string): void {
     if (this.ended) return;
     this.socket.end();
     this.close(detail, false);
   }
 
-  /** Closes the connection at once; harmless when repeated. */
+  /** Closes the connection at once; repeated calls have no effect. */
   close(detail: string, destroy = true): void {
     if (destroy) this.socket.destroy();
     if (this.ended) return;
--- a/src/sidecar/link/peer-link.test.ts
+++ b/src/sidecar/link/peer-link.test.ts
@@ -15,11 +15,11 @@
 let peer: Socket;
 let received: LinkMessage[];
 let reachable: boolean;
-/** Ages that were told, with the moments of the questions. */
+/** Reported ages, with the boot times of the requests. */
 let confirmations: (readonly [number, number])[];
 let link: PeerLink;
-/** Whether the other node greets those who connect at once. */
-let greets: boolean;
+/** Whether the other node sends its greeting as soon as a connection opens. */
+let greetsAtOnce: boolean;
 
 beforeEach(async () => {
   clock = new ManualClock();
@@ -27,7 +27,7 @@
   received = [];
   confirmations = [];
   reachable = false;
-  greets = true;
+  greetsAtOnce = true;
   server = createServer((socket) => {
     peer = socket;
     const reader = new FrameReader(1_000_000);
@@ -37,7 +37,7 @@
         return true;
       });
     });
-    if (greets) greet();
+    if (greetsAtOnce) greet();
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as { port: number };
@@ -56,8 +56,8 @@
       },
       onRules: () => {},
       onOwnTargetLeft: () => {},
-      onRulesConfirmation: (confirmation, askedAt) => {
-        confirmations.push([confirmation.ageMs, askedAt]);
+      onRulesConfirmation: (confirmation, requestedAt) => {
+        confirmations.push([confirmation.ageMs, requestedAt]);
       },
     },
   });
@@ -71,19 +71,19 @@
   server.close();
 });
 
-function say(message: LinkMessage): void {
+function sendFromPeer(message: LinkMessage): void {
   peer.write(encodeMessage(message));
 }
 
 function greet(): void {
-  say({ type: 'hello', status: STATUS, clock: 0 });
+  sendFromPeer({ type: 'hello', status: STATUS, clock: 0 });
 }
 
 async function until(condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise((resolve) => setTimeout(resolve, 1));
 }
 
-function has(type: LinkMessage['type']): boolean {
+function hasReceived(type: LinkMessage['type']): boolean {
   return received.some((message) => message.type === type);
 }
 
@@ -108,95 +108,95 @@
   };
 }
 
-/** Lets the checks of the link run for a time. */
-function pass(ms: number): void {
+/** Advances the clock in steps of 5 ms, so that the checks of the link run. */
+function advance(ms: number): void {
   for (let passed = 0; passed < ms; passed += 5) clock.advance(5);
 }
 
-test('into a silent link no call is sent that cannot be repeated: it is known not to have run', async () => {
-  pass(300);
+test('a call that is not idempotent is not sent to an unresponsive peer and fails as not run', async () => {
+  advance(300);
   const ends: AttemptEnd[] = [];
   link.dispatch(createCall(false), (end) => ends.push(end));
-  await until(() => has('ping'));
-  assert.equal(has('call'), false);
-  pass(600);
+  await until(() => hasReceived('ping'));
+  assert.equal(hasReceived('call'), false);
+  advance(600);
   const [end] = ends;
   assert.deepEqual(end?.type === 'failure' && [end.execution, end.offered], ['not-run', false]);
   assert.equal(reachable, false);
-  assert.equal(has('call'), false);
+  assert.equal(hasReceived('call'), false);
 });
 
-test('after a sign of life the call goes out with the time that is left', async () => {
-  pass(300);
+test('after a pong the call is sent with its remaining time', async () => {
+  advance(300);
   link.dispatch(createCall(false), () => {});
-  await until(() => has('ping'));
-  pass(20);
-  say({ type: 'pong' });
-  await until(() => has('call'));
+  await until(() => hasReceived('ping'));
+  advance(20);
+  sendFromPeer({ type: 'pong' });
+  await until(() => hasReceived('call'));
   const call = received.find((message) => message.type === 'call');
   assert.equal(call?.call.timeLeftMs, 4_980);
 });
 
-test('a repeatable call does not wait, nor does any call on a link heard of late', async () => {
+test('an idempotent call is sent at once, as is any call on a recently active link', async () => {
   link.dispatch(createCall(false), () => {});
-  await until(() => has('call'));
+  await until(() => hasReceived('call'));
   received.length = 0;
-  pass(300);
+  advance(300);
   link.dispatch(createCall(true), () => {});
-  await until(() => has('call'));
+  await until(() => hasReceived('call'));
 });
 
-test('a call that waits can be taken back and is never sent', async () => {
-  pass(300);
-  const cancel = link.dispatch(createCall(false), () => assert.fail('it was taken back'));
-  await until(() => has('ping'));
+test('a held call that is cancelled is never sent', async () => {
+  advance(300);
+  const cancel = link.dispatch(createCall(false), () => assert.fail('it was cancelled'));
+  await until(() => hasReceived('ping'));
   assert.equal(cancel(), false);
-  say({ type: 'pong' });
+  sendFromPeer({ type: 'pong' });
   link.dispatch(createCall(true), () => {});
-  await until(() => has('call'));
+  await until(() => hasReceived('call'));
   assert.equal(received.filter(({ type }) => type === 'call').length, 1);
 });
 
-test('what was sent into a link that falls silent may have run; a repeatable call ends then', async () => {
+test('a sent idempotent call ends with unknown execution when the peer is unresponsive', async () => {
   const ends: AttemptEnd[] = [];
   link.dispatch(createCall(true), (end) => ends.push(end));
-  await until(() => has('call'));
-  pass(1_000);
+  await until(() => hasReceived('call'));
+  advance(1_000);
   const [end] = ends;
   assert.equal(end?.type === 'failure' && end.execution, 'unknown');
 });
 
-test('an answer within a quarter of a second asks for no sign of life, however quiet it was before', async () => {
-  pass(5_000);
+test('no ping is sent within 250 ms of a call, however long the link was idle before', async () => {
+  advance(5_000);
   link.dispatch(createCall(true), () => {});
-  await until(() => has('call'));
-  pass(245);
+  await until(() => hasReceived('call'));
+  advance(245);
   await new Promise((resolve) => setTimeout(resolve, 20));
-  assert.equal(has('ping'), false);
-  pass(5);
-  await until(() => has('ping'));
+  assert.equal(hasReceived('ping'), false);
+  advance(5);
+  await until(() => hasReceived('ping'));
 });
 
-test('a call that was dispatched while the link connected is watched as well', async () => {
+test('a call dispatched while the link connects fails too if the peer is unresponsive', async () => {
   peer.destroy();
   await until(() => !reachable);
-  greets = false;
+  greetsAtOnce = false;
   const first = peer;
-  pass(100);
+  advance(100);
   await until(() => peer !== first);
   const ends: AttemptEnd[] = [];
   link.dispatch(createCall(true), (end) => ends.push(end));
-  pass(300);
+  advance(300);
   greet();
-  await until(() => has('call'));
-  pass(1_000);
+  await until(() => hasReceived('call'));
+  advance(1_000);
   assert.equal(ends.length, 1);
 });
 
-test('a confirmation counts from the question that it answers', async () => {
+test('the age of a confirmation counts from the request that it answers', async () => {
   const confirmation = { version: 1, ageMs: 40 };
   link.requestConfirmation();
-  await until(() => has('confirmation-wanted'));
+  await until(() => hasReceived('confirmation-wanted'));
   const first = received.find(({ type }) => type === 'confirmation-wanted');
   assert.ok(first?.type === 'confirmation-wanted');
   clock.advance(700);
@@ -205,23 +205,29 @@
   await until(() => received.filter(({ type }) => type === 'confirmation-wanted').length === 2);
   const second = received.findLast(({ type }) => type === 'confirmation-wanted');
   assert.ok(second?.type === 'confirmation-wanted');
-  // Written before the second question was: it must not count from that one.
-  say({ type: 'confirmation', question: first.question, confirmation });
-  say({ type: 'confirmation', question: second.question, confirmation });
+  // A reply to the first request must not count from the second one.
+  sendFromPeer({ type: 'confirmation', question: first.question, confirmation });
+  sendFromPeer({ type: 'confirmation', question: second.question, confirmation });
   await until(() => confirmations.length > 0);
   assert.deepEqual(confirmations, [[40, askedAgainAt]]);
 });
 
-test('a confirmation on an answer counts from the call', async () => {
+test('the age of a confirmation in an answer counts from the call', async () => {
   const authorization = { tenant: 't', fingerprint: 'f', rulesVersion: 1, validForMs: 3_000 };
   const calledAt = clock.now();
   link.dispatch({ ...createCall(true), authorization }, () => {});
-  await until(() => has('call'));
+  await until(() => hasReceived('call'));
   const call = received.find(({ type }) => type === 'call');
   assert.ok(call?.type === 'call');
   clock.advance(200);
   const end = { type: 'answer', status: 200, fields: [], body: Buffer.alloc(0) } as const;
-  say({ type: 'end', id: call.id, clock: 5, end, confirmation: { version: 1, ageMs: 40 } });
+  sendFromPeer({
+    type: 'end',
+    id: call.id,
+    clock: 5,
+    end,
+    confirmation: { version: 1, ageMs: 40 },
+  });
   await until(() => confirmations.length > 0);
   assert.deepEqual(confirmations, [[40, calledAt]]);
 });
--- a/src/sidecar/link/peer-link.ts
+++ b/src/sidecar/link/peer-link.ts
@@ -1,6 +1,6 @@
 /**
- * The connecting end of links: one node's way to another, for calls of the target beside it.
- * Connects when it is wanted, and again with growing pauses while it stays wanted.
+ * The connecting end of links: sends calls to the target of another node. Connects on demand, and
+ * reconnects with increasing delays until it is closed.
  */
 import { connect } from 'node:net';
 import { splitAddress } from '../../core/host-and-port.js';
@@ -26,56 +26,55 @@
 import { LinkSocket } from './link-socket.js';
 import { PeerClock } from './peer-clock.js';
 
-/** Time for a connection and the greeting, in milliseconds. */
+/** Time limit for the connection and the greeting. */
 const CONNECT_TIMEOUT_MS = 600;
-const FIRST_PAUSE_MS = 50;
-const MAX_PAUSE_MS = 1_000;
+const INITIAL_RECONNECT_DELAY_MS = 50;
+const MAX_RECONNECT_DELAY_MS = 1_000;
 /**
- * Silence after which a call that cannot be repeated waits for a sign of life of the other node,
- * in milliseconds: into a cut link it would be lost without anyone knowing whether it ran.
+ * Idle time after which a call that is not idempotent is held until the other node answers a ping:
+ * on a broken link it would be lost without anyone knowing whether it ran.
  */
-const TRUSTED_SILENCE_MS = 100;
+const TRUSTED_IDLE_MS = 100;
 /**
- * Silence, while an answer is owed, after which the other node is asked whether it is there, in
- * milliseconds. Silence of before the call does not count: most links of a large fleet are rarely used.
+ * Idle time, while an answer is pending, after which the other node is pinged. Idle time before the
+ * call does not count, since most links of a large fleet are rarely used.
  */
-const PROBE_AFTER_MS = 250;
-/** Silence after that question at which the link counts as silent, in milliseconds. */
-const SILENT_AFTER_MS = 350;
-/** Silence at which the connection is given up, in milliseconds. */
-const DEAD_AFTER_MS = 4_000;
+const PING_AFTER_MS = 250;
+/** Time after a ping without any message at which the other node counts as unresponsive. */
+const UNRESPONSIVE_AFTER_MS = 350;
+/** Time after a ping without any message at which the connection is closed. */
+const CLOSE_AFTER_MS = 4_000;
 const CHECK_INTERVAL_MS = 125;
 
-/** What a link tells its owner. */
+/** Callbacks of a link. */
 export interface PeerLinkListener {
-  /** The other node has said something about itself. */
+  /** Called with the status of the other node. */
   onStatus(status: NodeStatus): void;
-  /** The link opened, ended, fell silent or is heard again. */
+  /** Called when the link opens or closes, and when the other node stops or resumes responding. */
   onReachableChanged(reachable: boolean, detail: string): void;
   onRules(document: Uint8Array): void;
-  /** The other node remembers that the own target has left in this life. */
+  /** Called when the other node reports that the local target has left in this incarnation. */
   onOwnTargetLeft(incarnation: string): void;
   /**
-   * The other node tells how recently its rules were confirmed.
+   * Called when the other node reports how recently its rules were confirmed.
    *
-   * @param askedAt boot time before which it did not say so
+   * @param requestedAt boot time at which that was requested; the report is not older
    */
-  onRulesConfirmation(confirmation: RulesConfirmation, askedAt: number): void;
+  onRulesConfirmation(confirmation: RulesConfirmation, requestedAt: number): void;
 }
 
-/** What a link is made from. */
 export interface PeerLinkOptions {
-  /** Identity that the other node must have. */
+  /** Expected identity of the other node. */
   readonly node: string;
   /** IP address and port. */
   readonly address: string;
   readonly clock: Clock;
-  /** What this node says of itself now. */
+  /** Returns this node's current status. */
   status(): NodeStatus;
-  /** The rules in force as a document; undefined: none. */
+  /** Returns the document of the rules in force; undefined: none. */
   rulesDocument(): Buffer | undefined;
   readonly quarantine: QuarantineExchange;
-  /** Life in which the other node's target has left, as this node remembers; undefined: none. */
+  /** Returns the recorded incarnation in which the other node's target has left; undefined: none. */
   leftTarget(): string | undefined;
   readonly listener: PeerLinkListener;
 }
@@ -83,137 +82,147 @@
 interface PendingCall {
   readonly call: AttemptCall;
   readonly onEnd: (end: AttemptEnd) => void;
-  /** Whether it was written to a connection. */
+  /** Whether the call was written to a connection. */
   sent: boolean;
   readonly createdAt: number;
-  /** The same in boot time; undefined when the call needs no API key. */
-  readonly askedAt: number | undefined;
+  /** Boot time of the dispatch; undefined when the call needs no API key. */
+  readonly requestedAt: number | undefined;
 }
 
-/** A question that the other node has not answered. */
-interface Question {
+/** An unanswered request for the confirmation of the other node's rules. */
+interface ConfirmationRequest {
   readonly number: number;
-  readonly askedAt: number;
+  readonly requestedAt: number;
 }
 
 type Phase = 'idle' | 'connecting' | 'open';
 
-/** See the module comment. */
+/** A link to one other node; reconnects until it is closed. */
 export class PeerLink implements AttemptPort, QuotaPort {
   private phase: Phase = 'idle';
   private socket: LinkSocket | undefined;
   private readonly peerClock = new PeerClock();
   private readonly pending = new Map<number, PendingCall>();
-  /** Calls that wait for a sign of life of the other node. */
+  /** Calls that are held until the next message of the other node. */
   private readonly held = new Set<number>();
   private lastId = 0;
-  private pauseMs = FIRST_PAUSE_MS;
-  private cancelRetry: CancelTimer = () => {};
+  private reconnectDelayMs = INITIAL_RECONNECT_DELAY_MS;
+  private cancelReconnect: CancelTimer = () => {};
   private cancelConnectTimer: CancelTimer = () => {};
   private cancelCheck: CancelTimer | undefined;
-  private lastHeard = 0;
-  private probedAt: number | undefined;
-  private silent = false;
+  private lastReceivedAt = 0;
+  private pingedAt: number | undefined;
+  private unresponsive = false;
   private closed = false;
   private reachable = false;
-  /** Whether the last connection failed or ended. */
+  /** Whether the last connection failed or was closed. */
   private failed = false;
-  private question: Question | undefined;
-  private readonly quotaQuestions = new Map<number, OnQuotaReply>();
+  private confirmationRequest: ConfirmationRequest | undefined;
+  private readonly quotaQueries = new Map<number, OnQuotaReply>();
 
   constructor(private readonly options: PeerLinkOptions) {}
 
-  /** Whether calls can be sent now with hope of an answer. */
+  /** Whether the link is open and the other node responsive. */
   get isReachable(): boolean {
     return this.reachable;
   }
 
-  /** Whether calls are worth sending: the link is open, or connects for the first time. */
+  /** Whether calls may be dispatched: the link is reachable, or connects for the first time. */
   get isPromising(): boolean {
     return this.reachable || (this.phase === 'connecting' && !this.failed);
   }
 
-  /** Whether the last thing known is that the other node was not reached. */
+  /** Whether the last connection failed or the other node is unresponsive. */
   get isOutOfReach(): boolean {
-    return this.failed || this.silent;
+    return this.failed || this.unresponsive;
   }
 
-  /** Connects unless it is connected or about to be. */
+  /** Connects unless the link is open, connecting or closed for good. */
   open(): void {
     if (this.phase !== 'idle' || this.closed) return;
-    this.cancelRetry();
+    this.cancelReconnect();
     this.connect();
   }
 
-  /** Asks for the other node's rules. */
+  /** Requests the other node's rules. */
   requestRules(): void {
     if (this.phase === 'open') this.socket?.send({ type: 'rules-wanted' });
   }
 
-  /** Asks how recently the other node's rules were confirmed. */
+  /** Requests how recently the other node's rules were confirmed. */
   requestConfirmation(): void {
     if (this.phase !== 'open') return;
     this.lastId += 1;
-    this.question = { number: this.lastId, askedAt: this.options.clock.bootNow() };
+    this.confirmationRequest = { number: this.lastId, requestedAt: this.options.clock.bootNow() };
     this.socket?.send({ type: 'confirmation-wanted', question: this.lastId });
   }
 
-  /** Questions that are lost with the connection get no reply. */
+  /** Sends a quota query; `onReply` is never called when the connection is lost first. */
   askQuota(wanted: QuotaQuestion, onReply: OnQuotaReply): void {
     if (this.phase !== 'open') return;
     this.lastId += 1;
-    this.quotaQuestions.set(this.lastId, onReply);
+    this.quotaQueries.set(this.lastId, onReply);
     this.socket?.send({ type: 'quota-wanted', question: this.lastId, wanted });
   }
 
-  /** Tells the other node what this one now says of itself. */
+  /** Sends this node's status to the other node. */
   announceStatus(status: NodeStatus): void {
     if (this.phase === 'open') this.socket?.send({ type: 'status', status });
   }
 
-  /** Tells the other node of requests under which targets ended. */
+  /** Sends an update about requests that ran when targets crashed. */
   sendUpdate(update: QuarantineUpdate): void {
     if (this.phase === 'open') this.socket?.send(update);
   }
 
   dispatch(call: AttemptCall, onEnd: (end: AttemptEnd) => void): CancelTry {
     if (this.closed || this.socket?.hasRoom === false) {
-      onEnd(createNotOffered('unreachable', ResultCode.PeerUnreachable, 'the link takes no calls'));
+      onEnd(
+        createNotOffered(
+          'unreachable',
+          ResultCode.PeerUnreachable,
+          'the link is closed or its send buffer is full',
+        ),
+      );
       return () => false;
     }
     this.lastId += 1;
     const id = this.lastId;
     const { clock } = this.options;
-    const askedAt = call.authorization && clock.bootNow();
-    const pending = { call, onEnd, sent: false, createdAt: clock.now(), askedAt };
+    const requestedAt = call.authorization && clock.bootNow();
+    const pending = { call, onEnd, sent: false, createdAt: clock.now(), requestedAt };
     this.pending.set(id, pending);
     this.open();
     if (this.phase === 'open') this.sendOrHold(id, pending);
-    this.scheduleCheck(PROBE_AFTER_MS);
+    this.scheduleCheck(PING_AFTER_MS);
     return () => this.cancel(id);
   }
 
-  /** Ends the link for good. */
+  /** Closes the link for good. */
   close(detail: string): void {
     this.closed = true;
-    this.cancelRetry();
+    this.cancelReconnect();
     this.cancelCheck?.();
     this.socket?.close(detail);
     this.failAll(detail);
   }
 
   onMessage(message: LinkMessage): void {
-    this.lastHeard = this.options.clock.now();
-    this.probedAt = undefined;
+    this.lastReceivedAt = this.options.clock.now();
+    this.pingedAt = undefined;
     switch (message.type) {
       case 'end':
-        this.peerClock.note(this.lastHeard, message.clock, this.pending.get(message.id)?.createdAt);
-        this.noteConfirmation(message.confirmation, this.pending.get(message.id)?.askedAt);
+        this.peerClock.noteStamp(
+          this.lastReceivedAt,
+          message.clock,
+          this.pending.get(message.id)?.createdAt,
+        );
+        this.noteConfirmation(message.confirmation, this.pending.get(message.id)?.requestedAt);
         this.onEnd(message.id, message.end);
         break;
       case 'quota-reply':
-        this.quotaQuestions.get(message.question)?.(message.reply);
-        this.quotaQuestions.delete(message.question);
+        this.quotaQueries.get(message.question)?.(message.reply);
+        this.quotaQueries.delete(message.question);
         break;
       case 'confirmation':
         this.onConfirmation(message.question, message.confirmation);
@@ -244,7 +253,7 @@
       default:
         this.socket?.close(`unexpected message ${message.type}`);
     }
-    if (this.silent) this.setSilent(false, 'heard again');
+    if (this.unresponsive) this.setUnresponsive(false, 'responsive again');
     this.sendHeld();
   }
 
@@ -252,12 +261,12 @@
     this.cancelConnectTimer();
     this.socket = undefined;
     this.phase = 'idle';
-    this.silent = false;
+    this.unresponsive = false;
     this.failed = true;
-    this.quotaQuestions.clear();
+    this.quotaQueries.clear();
     this.updateReachable(detail);
     this.failAll(detail);
-    this.retryLater();
+    this.scheduleReconnect();
   }
 
   private connect(): void {
@@ -267,21 +276,21 @@
     const link = new LinkSocket(socket, this);
     this.socket = link;
     this.cancelConnectTimer = clock.schedule(CONNECT_TIMEOUT_MS, () => {
-      link.close('no connection in time');
+      link.close('connection or greeting timed out');
     });
   }
 
   private onHello({ status, clock }: Extract<LinkMessage, { type: 'hello' }>): void {
     if (status.node !== this.options.node) {
-      this.socket?.close(`another node, ${status.node}, is there`);
+      this.socket?.close(`unexpected node ${status.node} at this address`);
       return;
     }
     this.cancelConnectTimer();
     this.phase = 'open';
     this.failed = false;
-    this.pauseMs = FIRST_PAUSE_MS;
+    this.reconnectDelayMs = INITIAL_RECONNECT_DELAY_MS;
     this.peerClock.reset();
-    this.peerClock.note(this.options.clock.now(), clock);
+    this.peerClock.noteStamp(this.options.clock.now(), clock);
     const own = this.options.status();
     this.socket?.send({ type: 'status', status: own });
     const update = this.options.quarantine.currentUpdate();
@@ -291,8 +300,8 @@
     this.options.listener.onStatus(status);
     this.updateReachable('connected');
     for (const [id, { sent }] of this.pending) if (!sent) this.held.add(id);
-    // The check of a call that was dispatched meanwhile may have run before the link was open.
-    if (this.pending.size > 0) this.scheduleCheck(PROBE_AFTER_MS);
+    // The check for a call that was dispatched while connecting may have run before the link was open.
+    if (this.pending.size > 0) this.scheduleCheck(PING_AFTER_MS);
   }
 
   private sendRules(): void {
@@ -300,30 +309,30 @@
     if (document !== undefined) this.socket?.send({ type: 'rules', document });
   }
 
-  /** An answer to an earlier question may have been written before the newest one. */
+  /** Ignores replies to earlier requests, which may have been written before the latest request. */
   private onConfirmation(question: number, confirmation: RulesConfirmation): void {
-    if (this.question?.number !== question) return;
-    this.noteConfirmation(confirmation, this.question.askedAt);
-    this.question = undefined;
+    if (this.confirmationRequest?.number !== question) return;
+    this.noteConfirmation(confirmation, this.confirmationRequest.requestedAt);
+    this.confirmationRequest = undefined;
   }
 
   private noteConfirmation(
     confirmation: RulesConfirmation | undefined,
-    askedAt: number | undefined,
+    requestedAt: number | undefined,
   ): void {
-    if (confirmation === undefined || askedAt === undefined) return;
-    this.options.listener.onRulesConfirmation(confirmation, askedAt);
+    if (confirmation === undefined || requestedAt === undefined) return;
+    this.options.listener.onRulesConfirmation(confirmation, requestedAt);
   }
 
-  /** A call that cannot be repeated is not sent before the other node has been heard of late. */
+  /** Holds a call that is not idempotent unless a message of the other node was received recently. */
   private sendOrHold(id: number, pending: PendingCall): void {
-    const isTrusted = this.options.clock.now() - this.lastHeard <= TRUSTED_SILENCE_MS;
-    if (pending.call.idempotent || isTrusted) {
+    const receivedRecently = this.options.clock.now() - this.lastReceivedAt <= TRUSTED_IDLE_MS;
+    if (pending.call.idempotent || receivedRecently) {
       this.sendCall(id, pending);
       return;
     }
     this.held.add(id);
-    this.ask();
+    this.ping();
   }
 
   private sendHeld(): void {
@@ -336,10 +345,10 @@
     }
   }
 
-  /** Asks the other node for a sign of life, unless it has been asked. */
-  private ask(): void {
-    if (this.probedAt !== undefined) return;
-    this.probedAt = this.options.clock.now();
+  /** Pings the other node unless a ping is pending. */
+  private ping(): void {
+    if (this.pingedAt !== undefined) return;
+    this.pingedAt = this.options.clock.now();
     this.socket?.send({ type: 'ping' });
   }
 
@@ -370,82 +379,90 @@
     return pending.sent;
   }
 
-  private retryLater(): void {
+  private scheduleReconnect(): void {
     if (this.closed) return;
-    this.cancelRetry = this.options.clock.schedule(this.pauseMs, () => {
+    this.cancelReconnect = this.options.clock.schedule(this.reconnectDelayMs, () => {
       this.open();
     });
-    this.pauseMs = Math.min(MAX_PAUSE_MS, this.pauseMs * 2);
+    this.reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, this.reconnectDelayMs * 2);
   }
 
-  /** What was written may have run; what was not has not. */
+  /** Fails all pending calls: those that were written may have run, the others have not. */
   private failAll(detail: string): void {
     const all = [...this.pending.values()];
     this.pending.clear();
     this.held.clear();
-    const lost = `link to ${this.options.node}: ${detail}`;
+    const failureDetail = `link to ${this.options.node}: ${detail}`;
     for (const { onEnd, sent } of all) {
-      onEnd(sent ? createLost(ResultCode.PeerLost, lost) : createUnsent(lost));
+      onEnd(
+        sent
+          ? createLostFailure(ResultCode.PeerLost, failureDetail)
+          : createUnsentFailure(failureDetail),
+      );
     }
   }
 
   private scheduleCheck(delayMs: number): void {
     this.cancelCheck ??= this.options.clock.schedule(delayMs, () => {
       this.cancelCheck = undefined;
-      this.check();
+      this.checkLiveness();
     });
   }
 
-  /** Watches the silence while answers are due. */
-  private check(): void {
+  /** Checks, while answers are pending, that the other node still sends messages. */
+  private checkLiveness(): void {
     if (this.closed || this.phase !== 'open') return;
     const now = this.options.clock.now();
-    if (this.pending.size === 0 && !this.silent && this.probedAt === undefined) return;
-    if (this.probedAt === undefined) {
-      const quietMs = now - this.quietSince();
-      if (quietMs < PROBE_AFTER_MS) {
-        this.scheduleCheck(PROBE_AFTER_MS - quietMs);
+    if (this.pending.size === 0 && !this.unresponsive && this.pingedAt === undefined) return;
+    if (this.pingedAt === undefined) {
+      const idleMs = now - this.idleSince();
+      if (idleMs < PING_AFTER_MS) {
+        this.scheduleCheck(PING_AFTER_MS - idleMs);
         return;
       }
-      this.ask();
-    } else if (now - this.probedAt > DEAD_AFTER_MS) {
-      this.socket?.close('silent');
-    } else if (now - this.probedAt > SILENT_AFTER_MS && !this.silent) {
-      this.setSilent(true, 'silent');
+      this.ping();
+    } else if (now - this.pingedAt > CLOSE_AFTER_MS) {
+      this.socket?.close('no reply to ping');
+    } else if (now - this.pingedAt > UNRESPONSIVE_AFTER_MS && !this.unresponsive) {
+      this.setUnresponsive(true, 'unresponsive');
     }
     this.scheduleCheck(CHECK_INTERVAL_MS);
   }
 
-  /** Since when the other node has owed an answer and said nothing. */
-  private quietSince(): number {
+  /** Returns the time since which an answer is pending and nothing was received. */
+  private idleSince(): number {
     const [oldest] = this.pending.values();
-    return Math.max(this.lastHeard, oldest?.createdAt ?? 0);
+    return Math.max(this.lastReceivedAt, oldest?.createdAt ?? 0);
   }
 
-  private setSilent(silent: boolean, detail: string): void {
-    this.silent = silent;
+  private setUnresponsive(unresponsive: boolean, detail: string): void {
+    this.unresponsive = unresponsive;
     this.updateReachable(detail);
-    if (!silent) return;
-    const lost = `link to ${this.options.node} is silent`;
-    // What was not sent can go elsewhere, and repeatable requests need not wait for an answer that
-    // may never come.
+    if (!unresponsive) return;
+    const failureDetail = `link to ${this.options.node} is unresponsive`;
+    // Calls that were not sent can go to another node, and idempotent ones need not wait for an answer
+    // that may never arrive.
     for (const [id, { call, onEnd, sent }] of [...this.pending]) {
       if (sent && !call.idempotent) continue;
       this.cancel(id);
-      onEnd(sent ? createLost(ResultCode.PeerTimeout, lost) : createUnsent(lost));
+      onEnd(
+        sent
+          ? createLostFailure(ResultCode.PeerTimeout, failureDetail)
+          : createUnsentFailure(failureDetail),
+      );
     }
   }
 
   private updateReachable(detail: string): void {
-    const reachable = this.phase === 'open' && !this.silent;
+    const reachable = this.phase === 'open' && !this.unresponsive;
     if (reachable === this.reachable) return;
     this.reachable = reachable;
     this.options.listener.onReachableChanged(reachable, detail);
   }
 }
 
-/** The call was written and its answer is lost. */
-function createLost(code: ResultCode, detail: string): AttemptFailure {
+/** Creates the failure of a call that was written and whose answer is lost. */
+function createLostFailure(code: ResultCode, detail: string): AttemptFailure {
   return createAttemptFailure({
     outcome: 'failed',
     execution: 'unknown',
@@ -455,7 +472,7 @@
   });
 }
 
-/** The call was never written. */
-function createUnsent(detail: string): AttemptFailure {
+/** Creates the failure of a call that was never written. */
+function createUnsentFailure(detail: string): AttemptFailure {
   return createNotOffered('unreachable', ResultCode.PeerUnreachable, detail);
 }
