--- a/src/sidecar/target/target-client.test.ts
+++ b/src/sidecar/target/target-client.test.ts
@@ -42,7 +42,7 @@
   return new Promise((resolve) => client.send(request, resolve));
 }
 
-test('a closed client ends its idle connections and lets running exchanges end', async () => {
+test('a closed client closes its idle connections and lets running exchanges finish', async () => {
   const first = send('1');
   await waitUntil(() => waiting.length === 1);
   const second = send('2');
--- a/src/sidecar/target/target-client.ts
+++ b/src/sidecar/target/target-client.ts
@@ -1,7 +1,7 @@
 /**
- * Exchanges with the target beside this node, over a pool of connections. An answer counts only
- * when it is whole and carries the identity of its request; a connection on which anything else
- * was seen is closed, so that no answer can reach another request.
+ * Sends requests to the local target over a pool of connections. An answer is accepted only when it is
+ * complete and carries the identity of its request; after anything else the connection is closed, so
+ * that no answer can reach another request.
  */
 import { Agent, request as httpRequest, type ClientRequest, type IncomingMessage } from 'node:http';
 import type { OutgoingHttpHeaders } from 'node:http';
@@ -11,17 +11,16 @@
 import type { CancelTimer, Clock } from '../../kernel/clock.js';
 import type { RawFields } from '../link/link-messages.js';
 
-/** Idle connections are closed after this, well before targets usually close them. */
-const FREE_SOCKET_TIMEOUT_MS = 4_000;
-/** Time for a new connection, in milliseconds. */
+/** Idle connections are closed after this time, well before targets usually close them. */
+const IDLE_SOCKET_TIMEOUT_MS = 4_000;
 const CONNECT_TIMEOUT_MS = 1_000;
 
 const CONNECTION_REFUSED = 'ECONNREFUSED';
 
-/** Longest answer that is held, in bytes. */
+/** Longest accepted answer. */
 const MAX_ANSWER_BYTES = 32 * 1024 * 1024;
 
-/** A request as it goes to the target. */
+/** A request as it is sent to the target. */
 export interface TargetRequest {
   readonly attemptId: string;
   readonly method: string;
@@ -31,13 +30,13 @@
   readonly timeoutMs: number;
 }
 
-/** How an exchange ended. */
+/** Result of an exchange. */
 export type ExchangeEnd =
   | {
       readonly type: 'answer';
       readonly status: number;
       readonly fields: RawFields;
-      /** Fields by name in lower case. */
+      /** Fields by their name in lower case. */
       readonly headers: Readonly<Record<string, unknown>>;
       readonly body: Uint8Array;
     }
@@ -49,7 +48,6 @@
       readonly sent: boolean;
     };
 
-/** What a client is made from. */
 export interface TargetClientOptions {
   /** IP address and port. */
   readonly address: string;
@@ -68,19 +66,19 @@
     const { host, port } = splitAddress(options.address);
     this.host = host;
     this.port = port;
-    // First in, first out: bytes that nobody asked for show while a connection rests.
+    // First in, first out: unsolicited bytes are noticed while a connection is idle.
     this.agent = new Agent({
       keepAlive: true,
       scheduling: 'fifo',
       maxFreeSockets: Infinity,
-      timeout: FREE_SOCKET_TIMEOUT_MS,
+      timeout: IDLE_SOCKET_TIMEOUT_MS,
     });
   }
 
   /**
    * Sends a request.
    *
-   * @returns breaks the exchange off; `onEnd` is not called then
+   * @returns aborts the exchange; `onEnd` is not called then
    */
   send(request: TargetRequest, onEnd: (end: ExchangeEnd) => void): () => void {
     const { agent, host, port } = this;
@@ -92,7 +90,7 @@
     };
   }
 
-  /** Asks the target for its identity by its health check; undefined without a good answer. */
+  /** Reads the target's identity from its health check; undefined unless it answers 200 with an identity. */
   probe(path: string, idField: string, timeoutMs: number): Promise<string | undefined> {
     return new Promise((resolve) => {
       const { host, port } = this;
@@ -115,8 +113,8 @@
     });
   }
 
-  /** Whether the target's machine refuses a new connection, as it does when no process listens there. */
-  isRefusing(timeoutMs: number): Promise<boolean> {
+  /** Whether the target's machine refuses a new connection, as it does when no process listens. */
+  refusesConnections(timeoutMs: number): Promise<boolean> {
     return new Promise((resolve) => {
       const socket = connect({ host: this.host, port: this.port });
       const end = (refusing: boolean): void => {
@@ -136,8 +134,8 @@
   }
 
   /**
-   * Closes idle connections; running exchanges go on and their connections end with them. The
-   * agent's own `destroy` would cut those off too.
+   * Closes idle connections; running exchanges go on, and their connections close afterwards. The
+   * agent's own `destroy` would abort those exchanges too.
    */
   close(): void {
     const { agent } = this;
@@ -164,7 +162,7 @@
   private cancelTimer: CancelTimer = () => {};
   private cancelConnectTimer: CancelTimer = () => {};
   private readonly chunks: Buffer[] = [];
-  private received = 0;
+  private receivedBytes = 0;
 
   constructor(
     private readonly message: TargetRequest,
@@ -176,7 +174,7 @@
     const { agent, host, port, clock } = this.options;
     const { method, path, fields, timeoutMs } = this.message;
     this.cancelTimer = clock.schedule(timeoutMs, () => {
-      this.fail(this.sent ? 'timeout' : 'unreachable', 'no answer in time');
+      this.fail(this.sent ? 'timeout' : 'unreachable', 'answer timed out');
     });
     const headers = fields as unknown as OutgoingHttpHeaders;
     let request: ClientRequest;
@@ -214,7 +212,7 @@
     }
     socket.setNoDelay(true);
     this.cancelConnectTimer = this.options.clock.schedule(CONNECT_TIMEOUT_MS, () => {
-      this.fail('unreachable', 'no connection in time');
+      this.fail('unreachable', 'connection timed out');
     });
     socket.once('connect', () => {
       this.cancelConnectTimer();
@@ -236,8 +234,8 @@
       return;
     }
     response.on('data', (chunk: Buffer) => {
-      this.received += chunk.length;
-      if (this.received > MAX_ANSWER_BYTES) this.fail('broken', 'the answer is too long');
+      this.receivedBytes += chunk.length;
+      if (this.receivedBytes > MAX_ANSWER_BYTES) this.fail('broken', 'the answer is too long');
       else this.chunks.push(chunk);
     });
     response.on('error', (error) => {
--- a/src/sidecar/target/target-crash-watch.test.ts
+++ b/src/sidecar/target/target-crash-watch.test.ts
@@ -1,36 +1,36 @@
 import assert from 'node:assert/strict';
 import { beforeEach, test } from 'node:test';
 import { ManualClock } from '../../kernel/clock.js';
-import { TargetEndWatch } from './target-end-watch.js';
+import { TargetCrashWatch } from './target-crash-watch.js';
 
 let clock: ManualClock;
 let refusing: boolean;
 let running: boolean;
-let ends: (readonly string[])[];
+let crashes: (readonly string[])[];
 let released: string[];
-let watch: TargetEndWatch;
+let watch: TargetCrashWatch;
 
 beforeEach(() => {
   clock = new ManualClock();
   refusing = true;
   running = false;
-  ends = [];
+  crashes = [];
   released = [];
-  watch = new TargetEndWatch({
+  watch = new TargetCrashWatch({
     clock,
-    isRefusing: () => Promise.resolve(refusing),
+    refusesConnections: () => Promise.resolve(refusing),
     isRunningSince: () => running,
-    onEnd: (requests) => ends.push(requests.map(({ content }) => content)),
+    onCrash: (requests) => crashes.push(requests.map(({ content }) => content)),
   });
 });
 
-/** Cuts requests off; resolves when it is known what that was. */
-async function cut(...contents: string[]): Promise<void> {
+/** Interrupts requests; resolves when it is known whether the target crashed. */
+async function interrupt(...contents: string[]): Promise<void> {
   await Promise.all(
     contents.map(
       (content) =>
         new Promise<void>((resolve) => {
-          watch.onCut({ content, caller: 'c' }, () => {
+          watch.onInterrupted({ content, caller: 'c' }, () => {
             released.push(content);
             resolve();
           });
@@ -39,7 +39,7 @@
   );
 }
 
-/** Lets time pass, in steps in which promises settle. */
+/** Advances the clock in steps, and lets promises settle before each. */
 async function pass(milliseconds: number): Promise<void> {
   for (let passed = 0; passed < milliseconds; passed += 10) {
     await new Promise((resolve) => setImmediate(resolve));
@@ -47,78 +47,78 @@
   }
 }
 
-test('all cut off and new connections refused: an end, told before the requests end', async () => {
-  const cutting = cut('a', 'b', 'a');
+test('all requests interrupted and new connections refused: a crash, reported before they end', async () => {
+  const interrupting = interrupt('a', 'b', 'a');
   assert.deepEqual(released, []);
-  await cutting;
-  assert.deepEqual(ends, [['a', 'b', 'a']]);
+  await interrupting;
+  assert.deepEqual(crashes, [['a', 'b', 'a']]);
   assert.deepEqual(released, ['a', 'b', 'a']);
 });
 
 for (const [name, prepare] of [
-  ['new connections are taken', () => (refusing = false)],
+  ['new connections are accepted', () => (refusing = false)],
   ['another request still runs', () => (running = true)],
 ] as const) {
-  test(`no end: ${name}`, async () => {
+  test(`no crash: ${name}`, async () => {
     prepare();
-    const cutting = cut('a');
+    const interrupting = interrupt('a');
     await pass(200);
-    await cutting;
-    assert.deepEqual(ends, []);
+    await interrupting;
+    assert.deepEqual(crashes, []);
     assert.deepEqual(released, ['a']);
   });
 }
 
-test('an end is told when the last request is cut off after the first refusal', async () => {
+test('a crash is reported when the last request is interrupted after the first refusal', async () => {
   running = true;
-  const cutting = cut('a');
+  const interrupting = interrupt('a');
   await pass(20);
   running = false;
   await pass(20);
-  await cutting;
-  assert.deepEqual(ends, [['a']]);
+  await interrupting;
+  assert.deepEqual(crashes, [['a']]);
 });
 
-test('an end is told once', async () => {
-  await cut('a');
-  await cut('b');
-  watch.onNewLife();
-  assert.deepEqual(ends, [['a']]);
+test('a crash is reported once', async () => {
+  await interrupt('a');
+  await interrupt('b');
+  watch.onNewIncarnation();
+  assert.deepEqual(crashes, [['a']]);
 });
 
-test('another life explains what was cut off while connections were taken', async () => {
+test('a new incarnation shows that earlier interruptions were a crash', async () => {
   refusing = false;
-  await cut('a');
+  await interrupt('a');
   clock.advance(9_000);
-  watch.onNewLife();
-  assert.deepEqual(ends, [['a']]);
+  watch.onNewIncarnation();
+  assert.deepEqual(crashes, [['a']]);
 });
 
-test('another life explains nothing that was cut off long before', async () => {
+test('a new incarnation does not attribute much earlier interruptions to a crash', async () => {
   refusing = false;
-  await cut('a');
+  await interrupt('a');
   clock.advance(11_000);
-  watch.onNewLife();
-  assert.deepEqual(ends, []);
+  watch.onNewIncarnation();
+  assert.deepEqual(crashes, []);
 });
 
-test('an answer shows that what was cut off before was no end', async () => {
+test('an answer shows that earlier interruptions were no crash', async () => {
   refusing = false;
-  await cut('a');
+  await interrupt('a');
   watch.onAnswer();
-  watch.onNewLife();
-  assert.deepEqual(ends, []);
+  watch.onNewIncarnation();
+  assert.deepEqual(crashes, []);
 });
 
-test('a run that nobody waits for any more is suspect for a short time', async () => {
+test('an abandoned request is suspect for a short time', async () => {
   watch.onAbandoned({ content: 'long ago', caller: 'c' });
   clock.advance(1_001);
   watch.onAbandoned({ content: 'just now', caller: 'c' });
-  await cut('a');
-  assert.deepEqual(ends, [['a', 'just now']]);
+  await interrupt('a');
+  assert.deepEqual(crashes, [['a', 'just now']]);
 });
 
-test('another life alone accuses nobody', () => {
-  watch.onNewLife();
-  assert.deepEqual(ends, []);
+test('a new incarnation alone makes no request suspect', () => {
+  watch.onNewIncarnation();
+  assert.deepEqual(crashes, []);
 });
--- a/src/sidecar/target/target-crash-watch.ts
+++ b/src/sidecar/target/target-crash-watch.ts
@@ -1,116 +1,115 @@
 /**
- * Tells the end of a target from all else that cuts requests off. One cut connection says little:
- * targets reset some, and close idle ones. A target has ended when every request that ran there was
- * cut off and new connections are refused, or when another life of it is known soon after.
+ * Distinguishes a crash of a target from other interruptions of requests. One broken connection shows
+ * little: targets reset some, and close idle ones. A target has crashed when every request that ran there
+ * was interrupted and new connections are refused, or when another incarnation is known soon after.
  */
 import type { RequestKey } from '../../core/quarantine/suspect-table.js';
 import type { Clock } from '../../kernel/clock.js';
 import { pause } from '../../kernel/pause.js';
 
-/** Time in which a new life explains requests that were cut off, in milliseconds. */
-const EXPLAINED_WITHIN_MS = 10_000;
+/** Time before a new incarnation within which interrupted requests are attributed to a crash. */
+const CRASH_ATTRIBUTION_MS = 10_000;
 /**
- * A run whose caller left this long before the end may still have been at work, in milliseconds: not
- * every target stops when its connection closes.
+ * A request that was cancelled at most this long before the crash may still have been running: not
+ * every target stops when the connection closes.
  */
-const ABANDONED_LIFE_MS = 1_000;
+const ABANDONED_RETENTION_MS = 1_000;
 
-/** Checks, and the pause between them in milliseconds, while connections are refused and requests still run. */
+/** Number of checks, and the pause between them, while connections are refused and requests still run. */
 const MAX_CHECKS = 5;
 const CHECK_PAUSE_MS = 20;
 
-/** A request that was cut off, or that nobody waits for any more. */
-interface CutRequest {
+/** A request that was interrupted or abandoned. */
+interface InterruptedRequest {
   readonly request: RequestKey;
   /** Local monotonic time. */
   readonly at: number;
 }
 
-/** What the watch works with. */
-export interface TargetEndWatchOptions {
+export interface TargetCrashWatchOptions {
   readonly clock: Clock;
-  /** Tries a new connection to the target; never rejects. */
-  isRefusing(): Promise<boolean>;
-  /** Whether a request that was sent before a local monotonic time still runs. */
+  /** Attempts a new connection to the target and returns whether it is refused; never rejects. */
+  refusesConnections(): Promise<boolean>;
+  /** Whether a request that was sent before `time` (local monotonic) still runs. */
   isRunningSince(time: number): boolean;
-  /** The target has ended; these requests ran there. */
-  onEnd(requests: readonly RequestKey[]): void;
+  /** Called when the target has crashed, with the requests that ran there. */
+  onCrash(requests: readonly RequestKey[]): void;
 }
 
-/** Watches one life of a target. */
-export class TargetEndWatch {
-  private cut: CutRequest[] = [];
-  private abandoned: CutRequest[] = [];
-  private released: (() => void)[] = [];
+/** Watches one incarnation of a target. */
+export class TargetCrashWatch {
+  private interrupted: InterruptedRequest[] = [];
+  private abandoned: InterruptedRequest[] = [];
+  private releases: (() => void)[] = [];
   private checking = false;
-  private ended = false;
+  private crashed = false;
 
-  constructor(private readonly options: TargetEndWatchOptions) {}
+  constructor(private readonly options: TargetCrashWatchOptions) {}
 
   /**
-   * A request was cut off.
+   * Records a request that was interrupted.
    *
-   * @param release called when it is known whether the target has ended
+   * @param release called when it is known whether the target has crashed
    */
-  onCut(request: RequestKey, release: () => void): void {
-    this.cut.push({ request, at: this.options.clock.now() });
-    this.released.push(release);
+  onInterrupted(request: RequestKey, release: () => void): void {
+    this.interrupted.push({ request, at: this.options.clock.now() });
+    this.releases.push(release);
     if (!this.checking) void this.check();
   }
 
-  /** A request is broken off that the target may go on with. */
+  /** Records a request that was aborted here and may still run at the target. */
   onAbandoned(request: RequestKey): void {
     const now = this.options.clock.now();
-    this.abandoned = this.abandoned.filter(({ at }) => now - at <= ABANDONED_LIFE_MS);
+    this.abandoned = this.abandoned.filter(({ at }) => now - at <= ABANDONED_RETENTION_MS);
     this.abandoned.push({ request, at: now });
   }
 
-  /** The target gave a whole answer: what was cut off before was no end. */
+  /** Records a complete answer of the target: requests that were interrupted before show no crash. */
   onAnswer(): void {
-    this.ended = false;
-    if (!this.checking) this.cut = [];
+    this.crashed = false;
+    if (!this.checking) this.interrupted = [];
   }
 
-  /** Another life of the target is known, so that this one has ended. */
-  onNewLife(): void {
-    const oldest = this.options.clock.now() - EXPLAINED_WITHIN_MS;
-    this.cut = this.cut.filter(({ at }) => at >= oldest);
-    if (this.cut.length > 0) this.end();
+  /** Called when another incarnation of the target is known, so that this one has terminated. */
+  onNewIncarnation(): void {
+    const oldest = this.options.clock.now() - CRASH_ATTRIBUTION_MS;
+    this.interrupted = this.interrupted.filter(({ at }) => at >= oldest);
+    if (this.interrupted.length > 0) this.reportCrash();
   }
 
   private async check(): Promise<void> {
     this.checking = true;
-    const startedAt = this.cut.at(-1)!.at;
-    const ended = await this.hasEnded(startedAt);
+    const startedAt = this.interrupted.at(-1)!.at;
+    const crashed = await this.hasCrashed(startedAt);
     this.checking = false;
-    if (ended) this.end();
-    const { released } = this;
-    this.released = [];
-    for (const release of released) release();
+    if (crashed) this.reportCrash();
+    const { releases } = this;
+    this.releases = [];
+    for (const release of releases) release();
   }
 
-  /** The last connections may be found cut after the refusal. */
-  private async hasEnded(since: number): Promise<boolean> {
-    const { clock, isRefusing, isRunningSince } = this.options;
+  /** Checks several times, since the last broken connections may be noticed only after the refusal. */
+  private async hasCrashed(since: number): Promise<boolean> {
+    const { clock, refusesConnections, isRunningSince } = this.options;
     for (let check = 0; check < MAX_CHECKS; check += 1) {
-      if (!(await isRefusing())) return false;
+      if (!(await refusesConnections())) return false;
       if (!isRunningSince(since)) return true;
       await pause(clock, CHECK_PAUSE_MS);
     }
     return false;
   }
 
-  private end(): void {
-    const suspects = [...this.cut, ...this.recentlyAbandoned()];
-    this.cut = [];
+  private reportCrash(): void {
+    const suspects = [...this.interrupted, ...this.recentlyAbandoned()];
+    this.interrupted = [];
     this.abandoned = [];
-    if (this.ended) return;
-    this.ended = true;
-    this.options.onEnd(suspects.map(({ request }) => request));
+    if (this.crashed) return;
+    this.crashed = true;
+    this.options.onCrash(suspects.map(({ request }) => request));
   }
 
-  private recentlyAbandoned(): readonly CutRequest[] {
-    const end = this.cut[0]?.at ?? this.options.clock.now();
-    return this.abandoned.filter(({ at }) => end - at <= ABANDONED_LIFE_MS);
+  private recentlyAbandoned(): readonly InterruptedRequest[] {
+    const crashedAt = this.interrupted[0]?.at ?? this.options.clock.now();
+    return this.abandoned.filter(({ at }) => crashedAt - at <= ABANDONED_RETENTION_MS);
   }
 }
--- a/src/sidecar/target/target-gateway.test.ts
+++ b/src/sidecar/target/target-gateway.test.ts
@@ -1,4 +1,4 @@
-/** The gateway before a real target: what it tells routing of how requests end. */
+/** The gateway with a real target: what it reports about the outcome of requests. */
 import assert from 'node:assert/strict';
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -48,17 +48,17 @@
 const REFUSAL = createFailure(ResultCode.RulesOutdated, 'scripted', { retryAfterMs: 50 });
 
 let target: Server;
-let told: QuarantineUpdate[];
+let updates: QuarantineUpdate[];
 let status: number;
 let gateway: TargetGateway;
-/** Tenant whose key has been taken away. */
-let taken: string | undefined;
+/** Tenant whose key has been revoked. */
+let revokedTenant: string | undefined;
 let rechecks: number[];
 
 beforeEach(async () => {
-  told = [];
+  updates = [];
   rechecks = [];
-  taken = undefined;
+  revokedTenant = undefined;
   target = createServer((request, response) => {
     response.writeHead(status, { [FIELDS.attemptId]: String(request.headers[FIELDS.attemptId]) });
     response.end('whole');
@@ -76,12 +76,12 @@
     quarantine: new RequestQuarantine({
       clock: systemClock,
       log: silentEventLog,
-      broadcast: (update) => told.push(update),
+      broadcast: (update) => updates.push(update),
       trialNodeOf: () => undefined,
     }),
     recheckAuthorization: (authorization, validForMs) => {
       rechecks.push(validForMs);
-      return authorization.tenant === taken ? REFUSAL : undefined;
+      return authorization.tenant === revokedTenant ? REFUSAL : undefined;
     },
     onIdentityMismatch: () => {},
   });
@@ -97,22 +97,25 @@
   return new Promise((resolve) => gateway.dispatch({ ...CALL, attemptId }, resolve));
 }
 
-for (const [answered, told] of [
+for (const [answered, expectedShare] of [
   [200, 0],
   [404, 0],
   [504, 0],
   [500, 0.5],
 ] as const) {
-  test(`of a target that answers ${answered} routing hears a share of failures of ${told}`, async () => {
+  test(`the failure share reported for a target that answers ${answered} is ${expectedShare}`, async () => {
     status = answered;
     let end: AttemptEnd | undefined;
     for (let count = 0; count < 5; count += 1) end = await send(`a${count}`);
     assert.equal(end?.type === 'answer' && end.status, answered, 'the answer itself is unchanged');
-    assert.ok(Math.abs((end?.load?.failureShare ?? 0) - told) < 0.1, `${end?.load?.failureShare}`);
+    assert.ok(
+      Math.abs((end?.load?.failureShare ?? 0) - expectedShare) < 0.1,
+      `${end?.load?.failureShare}`,
+    );
   });
 }
 
-test('a target that ends accuses what ran there, and not what it had answered', async () => {
+test('after a crash the requests that ran are suspect, and those answered before are not', async () => {
   status = 200;
   await send('answered');
   target.removeAllListeners('request');
@@ -124,35 +127,35 @@
   await new Promise<void>((resolve) => {
     gateway.dispatch({ ...CALL, path: '/cause' }, (end) => {
       ends.push(end);
-      assert.equal(told.length, 1, 'the update goes before the end');
+      assert.equal(updates.length, 1, 'the update is sent before the request ends');
       resolve();
     });
   });
   assert.equal(ends[0]?.type === 'failure' && ends[0].execution, 'unknown');
-  const [update] = told;
+  const [update] = updates;
   assert.ok(update?.type === 'target-ends');
   assert.deepEqual(
-    update.ends.map(({ target: life, requests }) => [life, requests.length]),
+    update.ends.map(({ target: incarnation, requests }) => [incarnation, requests.length]),
     [['i-1', 1]],
   );
 });
 
-test('a request that is cancelled while it is asked whether the target has ended may have run', async () => {
+test('a request that is cancelled during the crash check may have run', async () => {
   target.removeAllListeners('request');
   let cancel: () => boolean = () => false;
-  const cut = new Promise<void>((resolve) => {
+  const interrupted = new Promise<void>((resolve) => {
     target.on('request', (request) => {
       request.socket.destroy();
       request.socket.on('close', resolve);
     });
   });
   cancel = gateway.dispatch(CALL, () => assert.fail('it was cancelled'));
-  await cut;
+  await interrupted;
   await new Promise((resolve) => setImmediate(resolve));
   assert.ok(cancel());
 });
 
-test('what waits is checked again before the target gets it', async () => {
+test('the authorization of a queued request is checked again before it is sent', async () => {
   const authorization = { tenant: 't', fingerprint: 'f', rulesVersion: 1, validForMs: 3_000 };
   const authorized = { ...CALL, authorization };
   const running: (() => void)[] = [];
@@ -169,17 +172,21 @@
     gateway.dispatch({ ...authorized, attemptId }, (end) => ends.push(end));
   }
   while (running.length === 0) await new Promise((resolve) => setTimeout(resolve, 1));
-  taken = 't';
+  revokedTenant = 't';
   running[0]!();
   while (ends.length < 2) await new Promise((resolve) => setTimeout(resolve, 1));
-  assert.deepEqual(seen, ['first'], 'what had been sent runs to its end, the other is not sent');
+  assert.deepEqual(
+    seen,
+    ['first'],
+    'the request that had been sent completes, the other is not sent',
+  );
   const refused = ends.find((end) => end.type === 'failure');
   assert.ok(refused?.type === 'failure');
   assert.deepEqual([refused.execution, refused.code], ['not-run', ResultCode.RulesOutdated]);
   assert.ok(rechecks.at(-1)! < 3_000, 'the wait counts');
 });
 
-test('a run that fails after a call below it was refused for load says so', async () => {
+test('an answer with status 500 is marked when a call below it was refused for load', async () => {
   target.removeAllListeners('request');
   target.on('request', (request, response) => {
     const attemptId = String(request.headers[FIELDS.attemptId]);
@@ -188,7 +195,10 @@
   });
   const refused = await send('refused');
   assert.equal(refused.type === 'answer' && refused.refusedBelow, true);
-  assert.ok((refused.load?.threshold ?? 0) > 0, 'nodes where such requests begin hear of it');
+  assert.ok(
+    (refused.load?.threshold ?? 0) > 0,
+    'the threshold is reported to the entry nodes of such requests',
+  );
   const failed = await send('failed');
   assert.equal(failed.type === 'answer' && failed.refusedBelow, undefined);
 });
--- a/src/sidecar/target/target-gateway.ts
+++ b/src/sidecar/target/target-gateway.ts
@@ -1,6 +1,6 @@
 /**
- * The only way to the target beside this node, for its own machine's requests and those that come
- * over links: admission, queue, leaving, deadline and the identity of the target are decided here.
+ * Handles all requests for the local target, those of its own machine and those received over links:
+ * admission, queue, leaving, deadline and the identity of the target.
  */
 import type { GateAction, OverloadPolicy, Refusal, TargetGate } from '../../core/overload.js';
 import { CRITICALITIES, type AttemptOutcome, type RequestContext } from '../../core/request.js';
@@ -30,9 +30,8 @@
 import { keyOfCall } from '../quarantine/request-key.js';
 import type { RequestQuarantine } from '../quarantine/request-quarantine.js';
 import { TargetClient, type ExchangeEnd } from './target-client.js';
-import { TargetEndWatch } from './target-end-watch.js';
+import { TargetCrashWatch } from './target-crash-watch.js';
 
-/** What the gateway works with. */
 export interface TargetGatewayOptions {
   readonly service: string;
   /** IP address and port of the target. */
@@ -43,20 +42,20 @@
   readonly clock: Clock;
   readonly log: EventLog;
   readonly seed: number;
-  /** Hears under which requests the target ended, and which it answered. */
+  /** Receives the requests that ran when the target crashed, and those that it answered. */
   readonly quarantine: RequestQuarantine;
   /** See {@link RequestAuthorizer.recheck}. */
   recheckAuthorization(authorization: Authorization, validForMs: number): Failure | undefined;
-  /** The target has answered as another incarnation than the one that is registered. */
+  /** Called when the target answers as another incarnation than the registered one. */
   onIdentityMismatch(targetId: string): void;
 }
 
 interface Ticket {
   readonly call: AttemptCall;
-  /** Local monotonic time at which the request ends. */
+  /** Local monotonic time at which the request times out. */
   readonly deadline: number;
   readonly context: RequestContext;
-  /** Boot time at which the request came here; undefined: it needs no authorization. */
+  /** Boot time at which the request arrived; undefined: it needs no authorization. */
   readonly arrivedAt: number | undefined;
   readonly onEnd: (end: AttemptEnd) => void;
   /** Gate of the incarnation that the request was admitted for. */
@@ -65,31 +64,31 @@
   callServed: boolean;
   /** Whether a call that the target made for the request was refused for load, at any depth. */
   refusedBelow: boolean;
-  /** Breaks the exchange off; undefined while the request waits. */
+  /** Aborts the exchange; undefined while the request waits. */
   abort: (() => void) | undefined;
   /** Local monotonic time at which it was sent; undefined while the request waits. */
   sentAt: number | undefined;
 }
 
-const BAD_STATUS = 421;
+const MISDIRECTED_REQUEST = 421;
 const INTERNAL_SERVER_ERROR = 500;
-const LEAVING_RETRY_MS = 50;
-const UNKNOWN_RETRY_MS = 500;
-/** Wait for a new connection when it is asked whether the target has ended, in milliseconds. */
-const END_CHECK_TIMEOUT_MS = 200;
+const LEAVING_RETRY_AFTER_MS = 50;
+const UNREGISTERED_RETRY_AFTER_MS = 500;
+/** Time limit for the connection that checks whether the target has crashed. */
+const CRASH_CHECK_TIMEOUT_MS = 200;
 
-/** See the module comment. */
+/** Admits, queues and sends the requests for the local target. */
 export class TargetGateway implements AttemptPort {
   private target: RegisteredTarget | undefined;
   private gate: TargetGate | undefined;
   private client: TargetClient | undefined;
-  /** Watches the life that the gate was opened for. */
-  private endWatch: TargetEndWatch | undefined;
-  private life: string | undefined;
-  /** Requests that were cut off, until it is known whether the target has ended. */
-  private readonly cutOff = new Set<number>();
+  /** Watches the incarnation that the gate was created for. */
+  private crashWatch: TargetCrashWatch | undefined;
+  private incarnation: string | undefined;
+  /** Requests that were interrupted, until it is known whether the target has crashed. */
+  private readonly interrupted = new Set<number>();
   private readonly tickets = new Map<number, Ticket>();
-  /** Tickets by the identity of their try, for the calls that the target makes meanwhile. */
+  /** Tickets by the identity of their attempt, for the calls that the target makes for it. */
   private readonly byAttempt = new Map<string, Ticket>();
   private lastTicket = 0;
   private cancelTimer: CancelTimer = () => {};
@@ -98,17 +97,17 @@
 
   constructor(private readonly options: TargetGatewayOptions) {}
 
-  /** Whether no new work is taken, since the node stops. */
+  /** Whether new work is refused, since the node stops. */
   get isStopping(): boolean {
     return this.stopping;
   }
 
-  /** Requests that wait or run. */
+  /** Number of requests that wait or run. */
   get inProgress(): number {
-    return this.tickets.size + this.cutOff.size;
+    return this.tickets.size + this.interrupted.size;
   }
 
-  /** Takes in what is known of the target; a new incarnation gets a gate of its own. */
+  /** Updates the target; a new incarnation gets its own gate. */
   setTarget(target: RegisteredTarget | undefined): void {
     const isNew =
       target !== undefined &&
@@ -118,13 +117,13 @@
     if (isNew) this.openGate(target);
   }
 
-  /** Takes no new work from now on; running work goes on. */
+  /** Refuses waiting and new work; running work goes on. */
   stop(): void {
     this.stopping = true;
     this.refuseWaiting();
   }
 
-  /** Asks the target for its identity. */
+  /** Requests the target's identity. */
   probe(path: string, timeoutMs: number): Promise<string | undefined> {
     const { address, fields, clock } = this.options;
     const identityField = fields.attemptId;
@@ -136,7 +135,7 @@
     const refusal = this.checkOpen(call);
     const { gate } = this;
     if (refusal !== undefined || gate === undefined) {
-      onEnd(refusal ?? this.unknownTarget());
+      onEnd(refusal ?? this.createUnregisteredFailure());
       return () => false;
     }
     const now = this.options.clock.now();
@@ -160,35 +159,35 @@
     return () => this.cancel(ticket);
   }
 
-  /** The request that the target serves under this identity. */
+  /** Returns the request that the target serves under this identity. */
   contextOf(attemptId: string): RequestContext | undefined {
     return this.byAttempt.get(attemptId)?.context;
   }
 
-  /** Whether the run of this identity is a repeat, so that its calls count as repeats. */
+  /** Whether the attempt of this identity is a retry, so that its calls count as retries. */
   isRepeated(attemptId: string): boolean {
     return this.byAttempt.get(attemptId)?.call.repeated ?? false;
   }
 
-  /** Whether a call of the run of this identity, or of one above, has been served. */
+  /** Whether a call of the attempt of this identity, or of an attempt above it, has been served. */
   isCommitted(attemptId: string): boolean {
     const ticket = this.byAttempt.get(attemptId);
     return ticket !== undefined && (ticket.callServed || ticket.call.committed);
   }
 
-  /** A call that the target made for a request was served. */
+  /** Records that a call that the target made for a request was served. */
   noteCallServed(attemptId: string): void {
     const ticket = this.byAttempt.get(attemptId);
     if (ticket !== undefined) ticket.callServed = true;
   }
 
-  /** A call that the target made for a request was refused for load. */
+  /** Records that a call that the target made for a request was refused for load. */
   noteCallRefused(attemptId: string): void {
     const ticket = this.byAttempt.get(attemptId);
     if (ticket !== undefined) ticket.refusedBelow = true;
   }
 
-  /** Takes in the admission threshold of a service that the target calls for a request. */
+  /** Records the admission threshold of a service that the target calls for a request. */
   noteDownstream(attemptId: string, service: string, threshold: number): void {
     const ticket = this.byAttempt.get(attemptId);
     ticket?.gate.noteDownstream(this.options.clock.now(), service, threshold, ticket.context.kind);
@@ -213,15 +212,18 @@
       const detail = `this node fronts ${this.options.service}`;
       return createNotOffered('unreachable', ResultCode.NoTargetAvailable, detail);
     }
-    if (this.target === undefined) return this.unknownTarget();
-    if (this.stopping || this.target.state === 'leaving') return leaving();
+    if (this.target === undefined) return this.createUnregisteredFailure();
+    if (this.stopping || this.target.state === 'leaving') return createLeavingFailure();
     if (call.timeLeftMs <= 0) {
       return createNotOffered('overloaded', ResultCode.DeadlineExceeded, 'no time left');
     }
     return this.checkAuthorization(call.authorization, 0) ?? this.checkQuarantine(call);
   }
 
-  /** No load and no fault of the target, and the same at each other node. */
+  /**
+   * Refuses with the outcome `cancelled`, since the refusal shows neither load nor a fault of the target
+   * and every other node would refuse too.
+   */
   private checkAuthorization(
     authorization: Authorization | undefined,
     waitedMs: number,
@@ -233,7 +235,7 @@
     return createNotOffered('cancelled', refusal.code, refusal.detail, refusal.retryAfterMs);
   }
 
-  /** No load and no fault of the target, and the same at each other node. */
+  /** Refuses with the outcome `cancelled`, for the same reason as {@link checkAuthorization}. */
   private checkQuarantine(call: AttemptCall): AttemptFailure | undefined {
     const refusal = this.options.quarantine.admitRun(call);
     if (refusal === undefined) return undefined;
@@ -241,14 +243,19 @@
     return createNotOffered('cancelled', code, detail, retryAfterMs);
   }
 
-  private unknownTarget(): AttemptFailure {
+  private createUnregisteredFailure(): AttemptFailure {
     const code = ResultCode.NoTargetAvailable;
-    return createNotOffered('unreachable', code, 'no target has registered', UNKNOWN_RETRY_MS);
+    return createNotOffered(
+      'unreachable',
+      code,
+      'no target has registered',
+      UNREGISTERED_RETRY_AFTER_MS,
+    );
   }
 
   private openGate(target: RegisteredTarget): void {
     const { policy, address, fields, clock, seed } = this.options;
-    this.watchLife(target);
+    this.watchIncarnation(target);
     this.client?.close();
     this.client = new TargetClient({ address, identityField: fields.attemptId, clock });
     this.gate = policy.createTargetGate({
@@ -258,18 +265,19 @@
     });
   }
 
-  private watchLife(target: RegisteredTarget): void {
-    const life = incarnationText(target);
-    if (life === this.life) return;
-    this.endWatch?.onNewLife();
-    this.life = life;
+  private watchIncarnation(target: RegisteredTarget): void {
+    const incarnation = incarnationText(target);
+    if (incarnation === this.incarnation) return;
+    this.crashWatch?.onNewIncarnation();
+    this.incarnation = incarnation;
     const { clock, quarantine } = this.options;
-    this.endWatch = new TargetEndWatch({
+    this.crashWatch = new TargetCrashWatch({
       clock,
-      isRefusing: () => this.client?.isRefusing(END_CHECK_TIMEOUT_MS) ?? Promise.resolve(false),
+      refusesConnections: () =>
+        this.client?.refusesConnections(CRASH_CHECK_TIMEOUT_MS) ?? Promise.resolve(false),
       isRunningSince: (time) => this.isRunningSince(time),
-      onEnd: (requests) => {
-        quarantine.noteTargetEnd(life, requests);
+      onCrash: (requests) => {
+        quarantine.noteTargetEnd(incarnation, requests);
       },
     });
   }
@@ -305,7 +313,7 @@
     });
   }
 
-  /** What has waited is checked again: the key may have been taken away meanwhile. */
+  /** Checks the authorization again after the wait, since the key may have been revoked meanwhile. */
   private refuseUnauthorized(ticketId: number, { arrivedAt, call, gate, onEnd }: Ticket): boolean {
     if (arrivedAt === undefined) return false;
     const { clock } = this.options;
@@ -329,30 +337,30 @@
     const load = gate.report(now, ticket.context);
     if (end.type === 'failure') this.logFailure(ticket, end);
     if (end.type === 'answer') this.noteAnswer(ticket);
-    if (isCut(exchange)) this.endWhenExplained(ticketId, ticket, { ...end, load });
+    if (isInterrupted(exchange)) this.endAfterCrashCheck(ticketId, ticket, { ...end, load });
     else ticket.onEnd({ ...end, load });
     this.apply(actions);
     this.armTimer();
   }
 
   private noteAnswer({ call }: Ticket): void {
-    this.endWatch?.onAnswer();
+    this.crashWatch?.onAnswer();
     this.options.quarantine.noteServed(call);
   }
 
   /**
-   * The caller's node must hear of the target's end before it decides on a repeat. An end that the
-   * target announced accuses no request.
+   * Ends the request after the crash check, since the caller's node must learn of a crash before it
+   * decides on a retry. When the target announced that it leaves, no request becomes suspect.
    */
-  private endWhenExplained(ticketId: number, { call, onEnd }: Ticket, end: AttemptEnd): void {
-    const { endWatch } = this;
-    if (endWatch === undefined || this.target?.state !== 'ready') {
+  private endAfterCrashCheck(ticketId: number, { call, onEnd }: Ticket, end: AttemptEnd): void {
+    const { crashWatch } = this;
+    if (crashWatch === undefined || this.target?.state !== 'ready') {
       onEnd(end);
       return;
     }
-    this.cutOff.add(ticketId);
-    endWatch.onCut(keyOfCall(call), () => {
-      if (this.cutOff.delete(ticketId)) onEnd(end);
+    this.interrupted.add(ticketId);
+    crashWatch.onInterrupted(keyOfCall(call), () => {
+      if (this.interrupted.delete(ticketId)) onEnd(end);
     });
   }
 
@@ -361,14 +369,14 @@
     const { status, fields, headers, body } = exchange;
     const { forwardedFields } = this.options;
     const { notExecuted, targetId: idField } = this.options.fields;
-    if (status === BAD_STATUS) {
+    if (status === MISDIRECTED_REQUEST) {
       const found = headers[idField];
       if (typeof found === 'string' && found !== targetId) {
         this.options.onIdentityMismatch(targetId);
       }
     }
-    if (status === BAD_STATUS || headers[notExecuted] !== undefined) {
-      return refusedByTarget(status);
+    if (status === MISDIRECTED_REQUEST || headers[notExecuted] !== undefined) {
+      return createRefusedByTargetFailure(status);
     }
     return { type: 'answer', status, fields: forwardedFields.ofTarget(fields), body };
   }
@@ -381,7 +389,7 @@
   }
 
   private cancel(ticketId: number): boolean {
-    if (this.cutOff.delete(ticketId)) return true;
+    if (this.interrupted.delete(ticketId)) return true;
     const ticket = this.take(ticketId);
     if (ticket === undefined) return false;
     const now = this.options.clock.now();
@@ -390,7 +398,7 @@
       return false;
     }
     ticket.abort();
-    this.endWatch?.onAbandoned(keyOfCall(ticket.call));
+    this.crashWatch?.onAbandoned(keyOfCall(ticket.call));
     this.apply(ticket.gate.complete(now, ticketId, 'cancelled'));
     return true;
   }
@@ -401,7 +409,7 @@
       if (ticket.abort !== undefined) continue;
       this.take(ticketId);
       ticket.gate.cancel(now, ticketId);
-      ticket.onEnd(leaving());
+      ticket.onEnd(createLeavingFailure());
     }
   }
 
@@ -439,30 +447,33 @@
   };
 }
 
-/** A run that failed after a refusal below it is lost work, which the caller's node hears of. */
+/**
+ * Marks the answer of an attempt that failed after a refusal below it, so that the caller's node learns
+ * of the wasted work.
+ */
 function withRefusedBelow({ refusedBelow }: Ticket, end: AttemptEnd): AttemptEnd {
   if (!refusedBelow || end.type !== 'answer' || end.status < INTERNAL_SERVER_ERROR) return end;
   return { ...end, refusedBelow: true };
 }
 
-/** A target's own failure says nothing of its speed, and routing should give it less. */
+/** A failure reported by the target shows nothing about its speed, and routing should send it less. */
 function outcomeOf(end: AttemptEnd): AttemptOutcome {
   if (end.type === 'failure') return end.outcome;
   return end.status === INTERNAL_SERVER_ERROR ? 'failed' : 'success';
 }
 
-/** Whether the request may have reached the target and its connection gave no answer. */
-function isCut(exchange: ExchangeEnd): boolean {
+/** Whether the request may have reached the target and its connection broke without an answer. */
+function isInterrupted(exchange: ExchangeEnd): boolean {
   return exchange.type === 'failure' && exchange.cause === 'broken';
 }
 
-function leaving(): AttemptFailure {
+function createLeavingFailure(): AttemptFailure {
   const code = ResultCode.NoTargetAvailable;
-  return createNotOffered('draining', code, 'the target is leaving', LEAVING_RETRY_MS);
+  return createNotOffered('draining', code, 'the target is leaving', LEAVING_RETRY_AFTER_MS);
 }
 
-function refusedByTarget(status: number): AttemptFailure {
-  const outcome: AttemptOutcome = status === BAD_STATUS ? 'unreachable' : 'overloaded';
+function createRefusedByTargetFailure(status: number): AttemptFailure {
+  const outcome: AttemptOutcome = status === MISDIRECTED_REQUEST ? 'unreachable' : 'overloaded';
   return createAttemptFailure({
     outcome,
     execution: 'not-run',
