--- a/src/sidecar/current-settings.test.ts
+++ b/src/sidecar/current-settings.test.ts
@@ -20,7 +20,7 @@
   }).unwrapOrElse((failure) => assert.fail(JSON.stringify(failure)));
 }
 
-/** A file whose content the test changes. */
+/** A settings source whose content the test changes. */
 class ScriptedSource {
   content: Result<SidecarSettings, Failure> = Result.ok(settings(1));
   changed = 0;
@@ -38,42 +38,42 @@
   source: ScriptedSource;
   clock: ManualClock;
   events: Event[];
-  holder: CurrentSettings;
+  currentSettings: CurrentSettings;
 }> {
   const source = new ScriptedSource();
   const clock = new ManualClock();
   const events: Event[] = [];
   const log = { emit: (event: Event) => events.push(event) };
-  const holder = new CurrentSettings(settings(1), source, clock, log);
-  await holder.start();
-  return { source, clock, events, holder };
+  const currentSettings = new CurrentSettings(settings(1), source, clock, log);
+  await currentSettings.start();
+  return { source, clock, events, currentSettings };
 }
 
 async function settle(): Promise<void> {
   await new Promise((resolve) => setImmediate(resolve));
 }
 
-test('a signal brings new bounds into force', async () => {
-  const { source, holder, events } = await start();
+test('a reload puts new bounds into force', async () => {
+  const { source, currentSettings, events } = await start();
   source.content = Result.ok(settings(7));
-  await holder.reload();
-  assert.equal(holder.current.bounds.retrySlack, 7);
+  await currentSettings.reload();
+  assert.equal(currentSettings.current.bounds.retrySlack, 7);
   assert.deepEqual(events, [Event.SettingsReloaded]);
 });
 
-test('a change without a signal is found', async () => {
-  const { source, clock, holder } = await start();
+test('a change without a signal is detected', async () => {
+  const { source, clock, currentSettings } = await start();
   source.content = Result.ok(settings(9));
   source.changed += 1;
   clock.advance(5_000);
   await settle();
-  assert.equal(holder.current.bounds.retrySlack, 9);
+  assert.equal(currentSettings.current.bounds.retrySlack, 9);
 });
 
-test('what cannot be read is refused, and the old settings stay', async () => {
-  const { source, holder, events } = await start();
+test('invalid settings are rejected and the previous ones stay in force', async () => {
+  const { source, currentSettings, events } = await start();
   source.content = Result.err(createFailure(ResultCode.SettingsInvalid, 'no'));
-  await holder.reload();
-  assert.equal(holder.current.bounds.retrySlack, 1);
+  await currentSettings.reload();
+  assert.equal(currentSettings.current.bounds.retrySlack, 1);
   assert.deepEqual(events, [Event.SettingsRejected]);
 });
--- a/src/sidecar/current-settings.ts
+++ b/src/sidecar/current-settings.ts
@@ -1,7 +1,7 @@
 /**
- * The settings as they are now. The file may change at any time, with SIGHUP or without; what
- * cannot be read is refused and the old settings stay. Bounds are used from the newest settings;
- * names and addresses hold for a life of the process.
+ * Keeps the settings up to date. The file may change at any time, with SIGHUP or without; an invalid file
+ * is rejected and the previous settings stay in force. Changed bounds take effect at once; changed names
+ * and addresses need a restart of the process.
  */
 import type { Result } from 'true-myth';
 import type { Failure } from '../core/failure.js';
@@ -9,18 +9,18 @@
 import { Event, type EventLog } from '../kernel/event.js';
 import type { SidecarSettings } from './settings.js';
 
-/** Pause between looks at the file; a signal makes it at once. */
+/** Interval between checks of the file; a signal reloads it at once. */
 const CHECK_INTERVAL_MS = 5_000;
 
-/** Where settings come from. */
+/** Source of the settings. */
 export interface SettingsSource {
-  /** Reads and checks the settings. */
+  /** Reads and validates the settings. */
   read(): Promise<Result<SidecarSettings, Failure>>;
-  /** Changes whenever the settings may have changed. */
+  /** Returns a text that differs whenever the settings may have changed. */
   stamp(): Promise<string>;
 }
 
-/** See the module comment. */
+/** Holds the settings in force and reloads them when the source changes. */
 export class CurrentSettings {
   private cancelCheck: CancelTimer = () => {};
   private lastStamp: string | undefined;
@@ -38,10 +38,10 @@
     return this.settings;
   }
 
-  /** Starts to look at the file. */
+  /** Starts the periodic checks of the source. */
   async start(): Promise<void> {
     this.lastStamp = await this.source?.stamp();
-    this.checkLater();
+    this.scheduleCheck();
   }
 
   close(): void {
@@ -63,7 +63,7 @@
     this.log.emit(Event.SettingsReloaded, { needsRestart });
   }
 
-  private checkLater(): void {
+  private scheduleCheck(): void {
     if (this.closed || this.source === undefined) return;
     this.cancelCheck = this.clock.schedule(CHECK_INTERVAL_MS, () => {
       void this.check();
@@ -76,11 +76,11 @@
       this.lastStamp = stamp;
       await this.reload();
     }
-    this.checkLater();
+    this.scheduleCheck();
   }
 }
 
-/** What holds for a life of the process, in a form that can be compared. */
+/** Returns the settings that need a restart to change, in a comparable form. */
 function fixedPart({ node, listen, target, store }: SidecarSettings): string {
   return JSON.stringify({ node, listen, target, store });
 }
--- a/src/sidecar/forwarded-fields.test.ts
+++ b/src/sidecar/forwarded-fields.test.ts
@@ -36,7 +36,7 @@
   body: Buffer.alloc(0),
 };
 
-test('what concerns one connection, framing and the nodes own fields do not pass', () => {
+test('hop-by-hop fields, framing and the fields set by nodes are not forwarded', () => {
   const fields = ['Host', 'h', 'Connection', 'close, X-Hop', 'X-Hop', '1', 'X-Odd', 'v'];
   const own = ['Attempt', 'a-1', 'Time-Left', '5', 'Expected', 'i-9'];
   const framing = ['Caller', 'forged', 'Content-Length', '3', 'Keep-Alive', 'timeout=5'];
@@ -44,7 +44,7 @@
   assert.deepEqual(passed, ['Host', 'h', 'X-Odd', 'v']);
 });
 
-test('the target gets the identity of the request, the time left and who called', () => {
+test('the target receives the identity of the request, the time left and the calling service', () => {
   const fields = forwarded.toTarget(CALL, 'i-1', 899.7);
   assert.deepEqual(fields.slice(0, 4), CALL.fields);
   assert.deepEqual(fields.slice(4), [
@@ -55,14 +55,14 @@
   assert.deepEqual(posted.slice(-2), ['Content-Length', '0']);
 });
 
-test('the caller gets the fields of the answer and the identity of its request, once', () => {
+test('the caller receives the fields of the answer and, once, the identity of its request', () => {
   const answered = ['Attempt', 'a-1', 'Signature', 's', 'Content-Length', '7'];
   const passed = forwarded.ofTarget([...answered, 'Connection', 'close']);
   assert.deepEqual(passed, ['Signature', 's']);
   assert.deepEqual(forwarded.toCaller(passed, 'a-1'), [...passed, 'attempt', 'a-1']);
 });
 
-test('a target is told the tenant and never the API key, whatever the caller sent', () => {
+test('a target receives the tenant and never the API key, whatever the caller sent', () => {
   const sent = ['Key', 'secret', 'KEY', 'secret-2', 'Tenant', 'forged', 'tEnAnT', 'forged-2'];
   assert.deepEqual(forwarded.ofCaller([...sent, 'X-Odd', 'v']), ['X-Odd', 'v']);
   const authorization = { tenant: 't', fingerprint: 'f', rulesVersion: 1, validForMs: 1 };
--- a/src/sidecar/forwarded-fields.ts
+++ b/src/sidecar/forwarded-fields.ts
@@ -1,35 +1,35 @@
 /**
- * Which header fields pass, and when. Everything passes in its order and case except hop-by-hop
- * fields (RFC 9110, section 7.6.1), message framing, which is written anew because bodies are held
- * whole, and the fields that the nodes themselves set. What does not pass is left out before the
- * message goes over a link: bytes between zones are dear.
+ * Decides which header fields are forwarded. All fields are forwarded in their order and case except
+ * hop-by-hop fields (RFC 9110, section 7.6.1), message framing, which is written again because bodies are
+ * buffered whole, and the fields that the nodes themselves set. Other fields are removed before the
+ * message goes over a link, since traffic between zones is expensive.
  */
 import { HOP_BY_HOP_FIELDS } from '../core/forwarded-fields.js';
 import type { AttemptCall, RawFields } from './link/link-messages.js';
 import type { FieldNames } from './platform-adapter.js';
 
-const FRAMING: ReadonlySet<string> = new Set(['content-length', 'expect']);
+const FRAMING_FIELDS: ReadonlySet<string> = new Set(['content-length', 'expect']);
 const METHODS_WITHOUT_BODY: ReadonlySet<string> = new Set(['GET', 'HEAD', 'DELETE', 'OPTIONS']);
 
-/** Decides which fields pass, for one platform's names. */
+/** Filters and adds header fields, with one platform's field names. */
 export class ForwardedFields {
-  /** Set by the node beside the target, whatever the caller sent. */
-  private readonly ownOfRequests: ReadonlySet<string>;
-  private readonly ownOfAnswers: ReadonlySet<string>;
+  /** Fields that the target's sidecar sets itself, whatever the caller sent, and framing. */
+  private readonly ownRequestFields: ReadonlySet<string>;
+  private readonly ownAnswerFields: ReadonlySet<string>;
 
   constructor(private readonly names: FieldNames) {
     const { attemptId, timeLeft, expectedTarget, callerService, apiKey, tenant } = names;
     const own = [attemptId, timeLeft, expectedTarget, callerService, apiKey, tenant];
-    this.ownOfRequests = new Set([...own, ...FRAMING]);
-    this.ownOfAnswers = new Set([attemptId, 'content-length']);
+    this.ownRequestFields = new Set([...own, ...FRAMING_FIELDS]);
+    this.ownAnswerFields = new Set([attemptId, 'content-length']);
   }
 
-  /** Fields of a caller's request that pass. */
+  /** Returns the fields of a caller's request that are forwarded. */
   ofCaller(fields: RawFields): RawFields {
-    return keep(fields, this.ownOfRequests);
+    return filterFields(fields, this.ownRequestFields);
   }
 
-  /** Fields of a request as the target gets them. */
+  /** Returns the fields of a request to the target. */
   toTarget(call: AttemptCall, targetId: string, timeLeftMs: number): RawFields {
     const { attemptId, timeLeft, expectedTarget, callerService, tenant } = this.names;
     const fields = [
@@ -50,18 +50,18 @@
     return fields;
   }
 
-  /** Fields of a target's answer that pass. */
+  /** Returns the fields of a target's answer that are forwarded. */
   ofTarget(fields: RawFields): RawFields {
-    return keep(fields, this.ownOfAnswers);
+    return filterFields(fields, this.ownAnswerFields);
   }
 
-  /** Fields of an answer as the caller gets them. */
+  /** Returns the fields of an answer to the caller. */
   toCaller(fields: RawFields, attemptId: string): RawFields {
     return [...fields, this.names.attemptId, attemptId];
   }
 }
 
-function keep(fields: RawFields, own: ReadonlySet<string>): string[] {
+function filterFields(fields: RawFields, own: ReadonlySet<string>): string[] {
   const tokens = connectionTokens(fields);
   const kept: string[] = [];
   for (let index = 0; index + 1 < fields.length; index += 2) {
@@ -72,7 +72,7 @@
   return kept;
 }
 
-/** Names listed in `Connection` fields are hop-by-hop too. */
+/** Returns the names listed in `Connection` fields, which are hop-by-hop too. */
 function connectionTokens(fields: RawFields): ReadonlySet<string> | undefined {
   let tokens: Set<string> | undefined;
   for (let index = 0; index + 1 < fields.length; index += 2) {
--- a/src/sidecar/http-listener.test.ts
+++ b/src/sidecar/http-listener.test.ts
@@ -4,7 +4,7 @@
 import { findFreePort } from '../trials/free-ports.js';
 import { HttpListener } from './http-listener.js';
 
-test('a call under way is answered before the listener ends', async () => {
+test('a request in progress is answered before the listener closes', async () => {
   const port = await findFreePort();
   const calls: (() => void)[] = [];
   const listener = new HttpListener((_request, response) => {
@@ -20,7 +20,7 @@
   await assert.rejects(sendRequest(`127.0.0.1:${port}`, { path: '/' }), { code: 'ECONNREFUSED' });
 });
 
-test('a call that does not end is not waited for long', async () => {
+test('a request without an answer delays the close only for a short time', async () => {
   const port = await findFreePort();
   const listener = new HttpListener(() => {
     // Never answered.
--- a/src/sidecar/http-listener.ts
+++ b/src/sidecar/http-listener.ts
@@ -1,10 +1,9 @@
-/** Start and end of a low-traffic HTTP server. */
+/** A low-traffic HTTP server with a graceful close. */
 import { createServer, type RequestListener, type Server, type ServerResponse } from 'node:http';
 
-/** Time for calls that are under way when the server ends, in milliseconds. */
-const LAST_CALLS_MS = 300;
+/** Time that requests in progress get to complete when the server closes. */
+const CLOSE_GRACE_MS = 300;
 
-/** A server with the two ends of its life. */
 export class HttpListener {
   private readonly server: Server;
   private readonly running = new Set<ServerResponse>();
@@ -26,7 +25,7 @@
     });
   }
 
-  /** Ends when the calls under way are answered, or soon; harmless before `listen`. */
+  /** Closes when the requests in progress are answered or their time is up; allowed before `listen`. */
   async close(): Promise<void> {
     const closed = new Promise((resolve) => this.server.close(resolve));
     for (const response of this.running) {
@@ -34,7 +33,7 @@
     }
     const timer = setTimeout(() => {
       this.server.closeAllConnections();
-    }, LAST_CALLS_MS);
+    }, CLOSE_GRACE_MS);
     await closed;
     clearTimeout(timer);
   }
--- a/src/sidecar/platform-adapter.ts
+++ b/src/sidecar/platform-adapter.ts
@@ -1,6 +1,6 @@
 /**
- * Port of the machines' platform: what the product must be told of the platform's names and
- * formats. The folder `platform/` implements it; it translates and decides nothing.
+ * Port of the machines' platform: its names and formats. The folder `platform/` implements it; an
+ * adapter only translates and makes no decisions.
  */
 import type { Result } from 'true-myth';
 import type { Failure } from '../core/failure.js';
@@ -9,21 +9,21 @@
 
 /** Names of the header fields between callers, nodes and targets, in lower case. */
 export interface FieldNames {
-  /** Identity of one try of a request; goes to the target and comes back on its answer. */
+  /** Identity of one attempt of a request; sent to the target and returned on its answer. */
   readonly attemptId: string;
-  /** Milliseconds that are left for the request. */
+  /** Remaining time of the request, in milliseconds. */
   readonly timeLeft: string;
-  /** Incarnation of the target that alone may run the request. */
+  /** The only incarnation of the target that may run the request. */
   readonly expectedTarget: string;
-  /** Service of the machine on which the request began. */
+  /** Service that runs on the machine of the entry node. */
   readonly callerService: string;
-  /** API key of a caller; no target is shown it. */
+  /** API key of a caller; never sent to a target. */
   readonly apiKey: string;
-  /** Tenant that holds the caller's API key, as a target is told it. */
+  /** Tenant that holds the caller's API key; sent to the target. */
   readonly tenant: string;
-  /** On an answer: the target says that it has not run the request. */
+  /** On an answer: shows that the target has not run the request. */
   readonly notExecuted: string;
-  /** On an answer: the target's signature, which no answer of a node may carry. */
+  /** On an answer: the target's signature, which a node's own answers must not carry. */
   readonly signature: string;
   /** On an answer: incarnation of the target. */
   readonly targetId: string;
@@ -37,21 +37,21 @@
   readonly address: string;
   readonly service: string;
   readonly zone: string;
-  /** Requests that the target works on at once. */
+  /** Requests that the target can run concurrently. */
   readonly slots: number;
   readonly state: 'ready' | 'draining';
-  /** Rises with each report of one incarnation, so that a late one can be told. */
+  /** Increases with each report of one incarnation, so that a late one can be detected. */
   readonly sequence: number;
   /** Milliseconds for which the target stays slow after its start. */
   readonly warmUpMs: number;
   /**
    * Start of the target's process, in Unix milliseconds by its own clock; with the id it names one
-   * incarnation, since a target may start again under its id. Absent where targets don't tell.
+   * incarnation, since a target may restart under its id. Absent where targets don't report it.
    */
   readonly startedAt?: number;
 }
 
-/** A target says that it leaves, with or without having drained before. */
+/** A target's report that it leaves, whether or not it has drained before. */
 export interface Departure {
   readonly type: 'departure';
   readonly targetId: string;
@@ -59,41 +59,40 @@
   readonly startedAt?: number;
 }
 
-/** A call from which nothing of a target can be learned. */
+/** A registration call without a readable report. */
 export interface UnreadableReport {
   readonly type: 'unreadable';
   readonly reason: string;
 }
 
-/** A call on the registration address. */
+/** A readable report in a call to the registration address. */
 export type RegistrationMessage = Heartbeat | Departure;
 
-/** See the module comment. */
 export interface PlatformAdapter {
   readonly fields: FieldNames;
-  /** Path at which the platform asks whether this node takes requests. */
+  /** Path at which the platform checks whether this node accepts requests. */
   readonly readinessPath: string;
   /** Key of the operators' routing rules in the store. */
   readonly rulesKey: string;
   /** Content type and body of the answer to an acknowledged registration call. */
   readonly acknowledgement: { readonly contentType: string; readonly body: string };
   /**
-   * Identity of the request that a target serves when it makes the call of this identity;
-   * undefined for a caller's own request.
+   * Returns the identity of the request that a target serves when it makes the call of this identity;
+   * undefined for a root request.
    */
   parentOf(attemptId: string): string | undefined;
-  /** Reads a registration call; never throws, whatever the bytes are. */
+  /** Parses a registration call; never throws, whatever the bytes are. */
   parseRegistration(
     method: string,
     path: string,
     body: Buffer,
   ): RegistrationMessage | UnreadableReport;
-  /** Reads a document of routing rules. */
+  /** Parses a document of routing rules. */
   parseRules(document: Buffer): Result<RoutingRules, Failure>;
   /**
    * @param address IP address and port of the store
-   * @param timeoutMs wait for an answer, beyond the wait that a watch asks for
-   * @param eras hears of the era of each answer; an answer that does not count is a failure
+   * @param timeoutMs time limit for an answer, in addition to the wait time that a watch requests
+   * @param eras receives the era of each answer; an answer that it does not accept is a failure
    */
   createStore(address: string, timeoutMs: number, eras: StoreEraSink): MetadataStore;
 }
--- a/src/sidecar/readiness-server.ts
+++ b/src/sidecar/readiness-server.ts
@@ -1,4 +1,4 @@
-/** Tells the platform whether this node takes requests. */
+/** Answers the platform's check whether this node accepts requests. */
 import { HttpListener } from './http-listener.js';
 
 const OK = 200;
@@ -8,7 +8,7 @@
 /**
  * Creates the server; it does not listen yet.
  *
- * @param path path of the question
+ * @param path path of the check
  */
 export function createReadinessServer(path: string, isReady: () => boolean): HttpListener {
   return new HttpListener((request, response) => {
--- a/src/sidecar/settings.test.ts
+++ b/src/sidecar/settings.test.ts
@@ -15,7 +15,7 @@
   unknown: 'is passed over',
 };
 
-test('what is left out has a default', () => {
+test('omitted settings get a default', () => {
   const settings = validateSidecarSettings(VALID).unwrapOrElse(() => assert.fail());
   assert.equal(settings.bounds.gracePeriod, 1_500);
   assert.deepEqual(settings.log, { level: 'info', maxLinesPerSecond: 50 });
@@ -33,7 +33,7 @@
 ];
 
 for (const [name, change, path] of INVALID) {
-  test(`a violation names its place: ${name}`, () => {
+  test(`a violation names its path: ${name}`, () => {
     const failure = validateSidecarSettings({ ...VALID, ...change }).match({
       Ok: () => assert.fail('accepted'),
       Err: (error) => error,
--- a/src/sidecar/settings.ts
+++ b/src/sidecar/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a sidecar: a node that stands beside one target on a machine of its own. */
+/** Settings of a sidecar: a node that runs with one target on the target's machine. */
 import type { Result } from 'true-myth';
 import { z } from 'zod';
 import { validateValue } from '../config/validate-value.js';
@@ -9,17 +9,20 @@
 const name = z.string().min(1).max(200);
 const address = z
   .string()
-  .regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'an IP address and port, as 127.0.0.1:8080');
+  .regex(
+    /^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/,
+    'expected an IP address and port, for example 127.0.0.1:8080',
+  );
 
-/** A duration, as `1500ms` or `2s`; read as milliseconds. */
+/** A duration, for example `1500ms` or `2s`; parsed to milliseconds. */
 const duration = z.string().transform((text, context) => {
   const milliseconds = parseDuration(text);
   if (milliseconds !== undefined) return milliseconds;
-  context.addIssue({ code: 'custom', message: 'a duration, as 1500ms or 2s' });
+  context.addIssue({ code: 'custom', message: 'expected a duration, for example 1500ms or 2s' });
   return z.NEVER;
 });
 
-/** Bounds that hold where the settings leave one out. */
+/** Defaults of bounds that the settings omit. */
 const DEFAULT_BOUNDS = {
   gracePeriod: '6s',
   retryRatio: 0.1,
@@ -31,7 +34,7 @@
   quotaSlack: 0,
 };
 
-/** A member that may be absent or null. */
+/** A member that gets a default when it is absent or null. */
 function orDefault<T extends z.ZodType>(schema: T, value: z.input<T>): z.ZodType<z.output<T>> {
   return z.preprocess((given) => given ?? value, schema);
 }
@@ -39,45 +42,45 @@
 const settingsSchema = z.object({
   node: z.object({ id: name, zone: name, region: z.string().max(200).default('') }),
   listen: z.object({
-    /** Callers and the own target send their requests here. */
+    /** Receives the requests of callers and of the local target. */
     entry: address,
-    /** The platform asks here whether this node takes requests. */
+    /** Answers the platform's check whether this node accepts requests. */
     readiness: address,
-    /** The own target registers here. */
+    /** Receives the reports of the local target. */
     registration: address,
-    /** Metrics are served here, at /metrics; absent: nowhere. */
+    /** Serves the metrics at /metrics; absent: they are not served. */
     metrics: address.optional(),
-    /** IP address for other nodes; the ports follow. */
+    /** IP address for messages between nodes. */
     host: z.string().min(1),
-    /** Ports that are free for messages between nodes, first and last. */
+    /** First and last port of the range for messages between nodes. */
     ports: z.tuple([z.int().min(0).max(65_535), z.int().min(0).max(65_535)]),
   }),
-  /** The target beside this node. */
+  /** The local target. */
   target: z.object({ service: name, address }),
   store: z.object({ address }),
   limits: z.object({
-    /** Memory that the process may use, in MB. */
+    /** Memory limit of the process, in MB. */
     memoryMb: z.number().min(32).default(256),
   }),
   bounds: z.object({
     /** Time from SIGTERM to SIGKILL. */
     gracePeriod: orDefault(duration, DEFAULT_BOUNDS.gracePeriod),
-    /** Repeats that a service may get, as a share of the requests for it. */
+    /** Retries that a service may receive, as a share of its requests. */
     retryRatio: orDefault(z.number().min(0), DEFAULT_BOUNDS.retryRatio),
-    /** Window over which the share counts. */
+    /** Window over which the share is measured. */
     retryWindow: orDefault(duration, DEFAULT_BOUNDS.retryWindow),
-    /** Repeats beyond the share, over all nodes. */
+    /** Retries allowed beyond the share, over all nodes. */
     retrySlack: orDefault(z.number().min(0), DEFAULT_BOUNDS.retrySlack),
     /**
-     * Time after which no request runs with an API key that was taken away, on any node; absent: nodes
-     * that don't hear of changes go on with the keys that they know.
+     * Time after which no node runs a request with a revoked API key; absent: nodes that receive no
+     * changes continue with the keys that they know.
      */
     keyRevocation: duration.nullish(),
-    /** Whether `keyRevocation` binds nodes that don't hear of changes. */
+    /** Whether `keyRevocation` also applies to nodes that receive no changes. */
     refuseUncheckedKeys: orDefault(z.boolean(), DEFAULT_BOUNDS.refuseUncheckedKeys),
-    /** Window over which the requests of a tenant are held against its limit. */
+    /** Window over which the requests of a tenant are compared with its limit. */
     quotaWindow: orDefault(duration, DEFAULT_BOUNDS.quotaWindow),
-    /** Requests beyond a limit that are allowed in a window, as a share of what it lets through. */
+    /** Requests allowed beyond a limit in a window, as a share of the requests that the limit allows. */
     quotaOvershoot: orDefault(z.number().min(0), DEFAULT_BOUNDS.quotaOvershoot),
     /** The same as a number of requests. */
     quotaSlack: orDefault(z.number().min(0), DEFAULT_BOUNDS.quotaSlack),
@@ -85,7 +88,7 @@
   log: z
     .object({
       level: z.enum(['debug', 'info', 'warn', 'error']).default('info'),
-      /** Lines a second that are written at most, errors excepted. */
+      /** Maximum lines per second, not counting errors. */
       maxLinesPerSecond: z.int().min(1).default(50),
     })
     .default({ level: 'info', maxLinesPerSecond: 50 }),
@@ -94,7 +97,7 @@
 /** Settings of one sidecar; every address is an IP address and port. */
 export type SidecarSettings = z.infer<typeof settingsSchema>;
 
-/** Checks settings (4004 with every violation). */
+/** Validates settings; fails with 4004 and every violation. */
 export function validateSidecarSettings(value: unknown): Result<SidecarSettings, Failure> {
   return validateValue(value, settingsSchema, ResultCode.SettingsInvalid);
 }
--- a/src/sidecar/sidecar-metrics.ts
+++ b/src/sidecar/sidecar-metrics.ts
@@ -3,26 +3,25 @@
 
 const LATENCY_BUCKETS_SECONDS = [0.005, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5];
 
-/** See the module comment. */
 export interface SidecarMetrics {
   readonly registry: Registry;
-  /** Requests of callers, by route and result code; 0 is an answer of a target. */
+  /** Requests of callers, by route and result code; 0 stands for a target's answer. */
   readonly requests: Counter<'kind' | 'code'>;
-  /** Requests whose connection ended before their whole answer, by the side that ended it. */
+  /** Requests whose connection closed before the complete answer, by the side that closed it. */
   readonly unanswered: Counter<'ended_by'>;
-  /** Time from a request's head to its answer, in seconds. */
+  /** Time from the head of a request to its answer, in seconds. */
   readonly latency: Histogram<'kind'>;
-  /** Requests that wait for or run at the own target. */
+  /** Requests that wait for or run at the local target. */
   readonly inProgress: Gauge;
   /** Version of the rules in force. */
   readonly rulesVersion: Gauge;
-  /** Requests under which a target ended, and that none has answered since. */
+  /** Requests that ran when a target crashed and that no target has answered since. */
   readonly suspects: Gauge;
-  /** Those of them that are kept from targets. */
+  /** Suspects that are not sent to targets. */
   readonly quarantined: Gauge;
 }
 
-/** Values that are read when the metrics are asked for. */
+/** Values that are read when the metrics are scraped. */
 export interface MetricSources {
   inProgress(): number;
   rulesVersion(): number;
@@ -30,7 +29,7 @@
   quarantined(): number;
 }
 
-/** Creates the metrics in a registry of their own. */
+/** Creates the metrics in their own registry. */
 export function createSidecarMetrics(sources: MetricSources): SidecarMetrics {
   const registry = new Registry();
   const registers = [registry];
--- a/src/sidecar/start-sidecar.ts
+++ b/src/sidecar/start-sidecar.ts
@@ -1,4 +1,4 @@
-/** Makes a sidecar from its settings and the platform's adapter. */
+/** Creates a sidecar from its settings and the platform's adapter. */
 import './plugins/plugins.js';
 import { BoundedEventLog } from '../kernel/bounded-event-log.js';
 import { systemClock, type Clock } from '../kernel/clock.js';
@@ -10,15 +10,14 @@
 import { SidecarOrder, SidecarToken } from './plugins/tokens.js';
 import type { SidecarSettings } from './settings.js';
 
-/** What a caller may put in place of the defaults. */
 export interface SidecarOptions {
-  /** Where changed settings are read; absent: they never change. */
+  /** Source of changed settings; absent: settings never change. */
   readonly source?: SettingsSource;
   readonly clock?: Clock;
   readonly log?: EventLog;
 }
 
-/** Creates a sidecar that has not started. */
+/** Creates a sidecar; it is not started yet. */
 export function createSidecar(
   settings: SidecarSettings,
   adapter: PlatformAdapter,
