--- a/src/sidecar/link/link-codec.ts
+++ b/src/sidecar/link/link-codec.ts
@@ -139,7 +139,7 @@
     i: id,
     c: sentAt,
     a: call.attemptId,
-    // The id of an attempt mostly begins with that of its root request, so the length of the prefix suffices.
+    // An attempt id mostly begins with the id of its root request; then the length of that prefix is sent.
     q: call.attemptId.startsWith(call.requestId) ? call.requestId.length : call.requestId,
     s: call.service,
     k: call.kind,
--- a/src/sidecar/target/target-client.ts
+++ b/src/sidecar/target/target-client.ts
@@ -36,7 +36,7 @@
       readonly type: 'answer';
       readonly status: number;
       readonly fields: RawFields;
-      /** Fields by their name in lower case. */
+      /** Field values by lower-case name. */
       readonly headers: Readonly<Record<string, unknown>>;
       readonly body: Uint8Array;
     }
--- a/src/sidecar/target/target-gateway.ts
+++ b/src/sidecar/target/target-gateway.ts
@@ -1,6 +1,6 @@
 /**
- * Handles all requests for the local target, those of its own machine and those received over links:
- * admission, queue, leaving, deadline and the identity of the target.
+ * Every request for the local target passes through this gateway, whether it comes from the same machine or
+ * over a link. The gateway checks admission, queue, leaving, deadline and the identity of the target.
  */
 import type { GateAction, OverloadPolicy, Refusal, TargetGate } from '../../core/overload.js';
 import { CRITICALITIES, type AttemptOutcome, type RequestContext } from '../../core/request.js';
