--- a/src/store/metadata-store.ts
+++ b/src/store/metadata-store.ts
@@ -1,10 +1,10 @@
 /**
- * Port of the metadata store: a linearizable key-value service with conditional writes, leases
- * and watches that the platform runs. Adapters implement it; nothing here knows their formats.
+ * Interface to the platform's metadata store: a linearizable key-value service with conditional
+ * writes, leases and watches. Adapters implement it; nothing here depends on their formats.
  *
- * All operations resolve; what went wrong is a {@link StoreFailure} with one of three causes:
- * `refused` (nothing was done), `unknown` (no answer: a write may have been done, or may be done
- * later while its condition holds) or `malformed` (an answer that could not be read).
+ * No operation rejects. Errors are returned as a {@link StoreFailure} with one of three causes:
+ * `refused` (nothing was done), `unknown` (no answer: a write may have been applied, or may still be
+ * applied while its condition holds) or `malformed` (the answer could not be read).
  */
 import type { Result } from 'true-myth';
 
@@ -12,9 +12,9 @@
 export interface StoreItem {
   readonly key: string;
   readonly value: Buffer;
-  /** Revision of the last change of the key; revisions rise over the whole store. */
+  /** Revision of the last change of the key; revisions increase across the whole store. */
   readonly revision: number;
-  /** Lease that the key ends with; absent: none. */
+  /** Lease with which the key expires; absent: none. */
   readonly lease?: string;
 }
 
@@ -23,7 +23,7 @@
   | ({ readonly type: 'put' } & StoreItem)
   | { readonly type: 'removed'; readonly key: string; readonly revision: number };
 
-/** Why an operation gave no result. */
+/** Why an operation failed. */
 export interface StoreFailure {
   readonly cause: 'refused' | 'unknown' | 'malformed';
   readonly detail: string;
@@ -35,7 +35,7 @@
   readonly at: number;
 }
 
-/** What a watch saw: changes after a revision, or that this part of the history is gone. */
+/** Result of a watch: the changes after a revision, or that the store no longer has that history. */
 export type WatchResult =
   | { readonly type: 'events'; readonly events: readonly StoreEvent[]; readonly at: number }
   | { readonly type: 'compacted' };
@@ -50,11 +50,11 @@
 export interface StorePut {
   readonly key: string;
   readonly value: Buffer;
-  /** Lease that the key ends with; absent: none. */
+  /** Lease with which the key expires; absent: none. */
   readonly lease?: string;
 }
 
-/** Writes that happen all or not at all. */
+/** Writes that are applied all together or not at all. */
 export interface StoreTransaction {
   readonly conditions: readonly StoreCondition[];
   readonly puts: readonly StorePut[];
@@ -65,7 +65,7 @@
   | { readonly type: 'committed'; readonly revision: number }
   /** A condition did not hold; nothing was written. */
   | { readonly type: 'conflict' }
-  /** The lease is over; nothing was written. */
+  /** The lease has ended; nothing was written. */
   | { readonly type: 'lease-lost' };
 
 /** A lease as granted. */
@@ -75,18 +75,18 @@
 }
 
 /**
- * Hears of the era of each answer: a number that rises by one each time the store comes back from an older
- * copy of itself.
+ * Receives the era of each answer: a number that increases by one each time the store is restored from
+ * an older copy of its data.
  */
 export interface StoreEraSink {
   /**
-   * @param era number that an answer bears; undefined: none
-   * @returns whether the answer counts; one that does not is a failure with cause `unknown`
+   * @param era era of the answer; undefined: the answer has none
+   * @returns whether the answer may be used; if not, it is a failure with cause `unknown`
    */
   accept(era: number | undefined): boolean;
 }
 
-/** The store as the product uses it. */
+/** Operations of the metadata store. */
 export interface MetadataStore {
   /** Reads one key; linearizable. */
   read(key: string): Promise<Result<StoreItem | undefined, StoreFailure>>;
@@ -95,16 +95,16 @@
   /**
    * Waits for changes of a prefix.
    *
-   * @param after revision after which changes are wanted
-   * @param waitMs longest wait; then the result has no events
+   * @param after only changes after this revision are returned
+   * @param waitMs longest wait; after it the result has no events
    */
   watch(prefix: string, after: number, waitMs: number): Promise<Result<WatchResult, StoreFailure>>;
-  /** Writes under conditions. */
+  /** Writes if all conditions hold. */
   transact(transaction: StoreTransaction): Promise<Result<TransactionResult, StoreFailure>>;
-  /** Asks for a lease. */
+  /** Requests a lease. */
   grantLease(ttlMs: number): Promise<Result<StoreLease, StoreFailure>>;
-  /** Renews a lease; false when it is over. */
+  /** Renews a lease; false when it has ended. */
   keepLease(id: string): Promise<Result<boolean, StoreFailure>>;
-  /** Ends all open operations. */
+  /** Ends all pending operations. */
   close(): void;
 }
--- a/src/store/store-backoff.test.ts
+++ b/src/store/store-backoff.test.ts
@@ -1,4 +1,4 @@
-/** The back-off on a clock of its own. */
+/** The back-off under a manual clock. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ManualClock } from '../kernel/clock.js';
@@ -13,11 +13,15 @@
   await new Promise((resolve) => setImmediate(resolve));
 }
 
-/** A caller that asks again and again, as a watch does. */
-async function ask(backoff: StoreBackoff, isUp: () => boolean, onAsked: () => void): Promise<void> {
+/** A caller that calls the store until it is answered, as a watch does. */
+async function callUntilAnswered(
+  backoff: StoreBackoff,
+  isUp: () => boolean,
+  onCall: () => void,
+): Promise<void> {
   for (;;) {
     await backoff.turn();
-    onAsked();
+    onCall();
     if (isUp()) {
       backoff.noteAnswered();
       return;
@@ -33,42 +37,42 @@
   }
 }
 
-test('while the store answers nobody waits', async () => {
+test('no caller waits while the store answers', async () => {
   const backoff = new StoreBackoff(new ManualClock(), NO_JITTER);
   await backoff.turn();
   backoff.noteAnswered();
   await backoff.turn();
 });
 
-test('two callers together ask no more often than one through an outage', async () => {
+test('two callers together call no more often than one during an outage', async () => {
   const clock = new ManualClock();
   const backoff = new StoreBackoff(clock, NO_JITTER);
   backoff.noteAnswered();
-  let asked = 0;
+  let callCount = 0;
   let up = false;
   const callers = [1, 2].map(() =>
-    ask(
+    callUntilAnswered(
       backoff,
       () => up,
-      () => (asked += 1),
+      () => (callCount += 1),
     ),
   );
   await advance(clock, OUTAGE_MS);
-  // Both first calls, pauses of 50 to 800 ms, then one a second; each on its own, up to 500 ms: 40.
-  assert.ok(asked <= 16, `${asked} calls`);
-  assert.ok(asked >= 12, `${asked} calls`);
+  // Two first calls, pauses of 50 to 800 ms, then one call a second. Separate back-offs up to 500 ms: 40 calls.
+  assert.ok(callCount <= 16, `${callCount} calls`);
+  assert.ok(callCount >= 12, `${callCount} calls`);
   up = true;
-  const before = asked;
+  const before = callCount;
   await advance(clock, 1_010);
   await Promise.all(callers);
-  assert.equal(asked - before, 2, 'the one whose turn it was, and the other at once');
+  assert.equal(callCount - before, 2, 'the next caller in turn, and the other one at once');
 });
 
-test('before the first answer the pause stays short, since nothing can be served', async () => {
+test('the pause stays short before the first answer, since nothing can be served', async () => {
   const clock = new ManualClock();
   const backoff = new StoreBackoff(clock, NO_JITTER);
   let up = false;
-  const caller = ask(
+  const caller = callUntilAnswered(
     backoff,
     () => up,
     () => {},
@@ -79,7 +83,7 @@
   await caller;
 });
 
-test('a while after an outage the next failure starts with a short pause', async () => {
+test('the first failure after an outage has passed starts with a short pause', async () => {
   const clock = new ManualClock();
   const backoff = new StoreBackoff(clock, NO_JITTER);
   backoff.noteFailed();
@@ -95,35 +99,35 @@
   await second;
 });
 
-test('a store that answers listings and refuses waits is not asked in a loop', async () => {
+test('a store that answers listings and refuses watches is not called in a tight loop', async () => {
   const clock = new ManualClock();
   const backoff = new StoreBackoff(clock, NO_JITTER);
-  let asked = 0;
+  let refusedCount = 0;
   let stopped = false;
   const watch = async (): Promise<void> => {
     while (!stopped) {
       await backoff.turn();
       backoff.noteAnswered();
       await backoff.turn();
-      asked += 1;
+      refusedCount += 1;
       backoff.noteFailed();
     }
   };
   void watch();
   await advance(clock, OUTAGE_MS);
   stopped = true;
-  // Pauses of 50 ms each time would be 180.
-  assert.ok(asked <= 16, `${asked} refused waits`);
+  // A pause of 50 ms each time would give 180 calls.
+  assert.ok(refusedCount <= 16, `${refusedCount} refused watches`);
 });
 
-test('a call without an end does not keep the others from asking', async () => {
+test('a call that does not return does not block the other callers', async () => {
   const clock = new ManualClock();
   const backoff = new StoreBackoff(clock, NO_JITTER);
   backoff.noteFailed();
-  const silent = backoff.turn();
+  const hanging = backoff.turn();
   const other = backoff.turn();
   await advance(clock, 50);
-  await silent;
+  await hanging;
   await advance(clock, 100);
   await other;
 });
--- a/src/store/store-backoff.ts
+++ b/src/store/store-backoff.ts
@@ -1,6 +1,6 @@
 /**
- * One back-off for all that a node asks of the store again and again: while its calls fail, one caller
- * at a time asks, and the others wait until the store has answered. Callers that each try on their own
+ * Back-off shared by all repeated calls of a node to the store. While calls fail, one caller at a time
+ * calls the store and the others wait until it has answered. With a back-off for each caller, the calls
  * would add up, and refused calls cost the store as well.
  */
 import type { Random } from '../core/random.js';
@@ -8,22 +8,26 @@
 
 /** Pause after the first failure, in milliseconds. */
 const FIRST_PAUSE_MS = 50;
-/** Longest pause before the store has answered for the first time, in milliseconds: nothing can be served. */
-const MAX_FIRST_PAUSE_MS = 500;
 /**
- * Longest pause later, in milliseconds. A record that lapsed while the store was away has to be back two
- * seconds after it: one second until the loss is noticed, the other for the write and its retry.
+ * Longest pause before the store has answered for the first time, in milliseconds. Short, since nothing can
+ * be served until then.
+ */
+const MAX_PAUSE_BEFORE_FIRST_ANSWER_MS = 500;
+/**
+ * Longest pause later, in milliseconds. A record that lapsed while the store was unavailable must be written
+ * again within two seconds after the store is back: one second until the loss is noticed, the other for the
+ * write and its retry.
  */
 const MAX_PAUSE_MS = 1_000;
-/** Share of a pause by which it is shortened at random, so that nodes that failed together part. */
+/** Each pause is shortened at random by up to this share, so that nodes that failed together spread out. */
 const JITTER_SHARE = 0.25;
 
-/** See the module comment. */
+/** Back-off of one node, shared by all callers of the store. */
 export class StoreBackoff {
   private pauseMs = FIRST_PAUSE_MS;
   private failing = false;
   private answeredBefore = false;
-  /** Local monotonic time. */
+  /** Local monotonic time, in milliseconds. */
   private lastFailedAt = -Infinity;
   /** Callers that wait for their turn, in order. */
   private readonly waiting: (() => void)[] = [];
@@ -34,7 +38,7 @@
     private readonly random: Random,
   ) {}
 
-  /** Resolves when the caller may ask: at once while the store answers. */
+  /** Resolves when the caller may call the store: at once while the store answers. */
   turn(): Promise<void> {
     if (!this.failing) return Promise.resolve();
     return new Promise((resolve) => {
@@ -44,8 +48,9 @@
   }
 
   /**
-   * A call was answered: whoever waits may ask now. The pause becomes short again only a while after the
-   * last failure, since a store may answer listings and refuse the waits behind them.
+   * Records that a call was answered: all waiting callers proceed now. The pause is reset only when the last
+   * failure is more than {@link MAX_PAUSE_MS} ago, since a store may answer listings and refuse the watches
+   * that follow them.
    */
   noteAnswered(): void {
     this.failing = false;
@@ -56,16 +61,16 @@
     for (const proceed of this.waiting.splice(0)) proceed();
   }
 
-  /** A call was refused or got no answer. */
+  /** Records that a call was refused or got no answer. */
   noteFailed(): void {
     this.failing = true;
     this.lastFailedAt = this.clock.now();
   }
 
-  /** The next caller in order asks after the pause, which doubles. */
+  /** Lets the next caller in order proceed after the pause, and doubles the pause. */
   private schedule(): void {
     if (this.cancelTimer !== undefined) return;
-    const longest = this.answeredBefore ? MAX_PAUSE_MS : MAX_FIRST_PAUSE_MS;
+    const longest = this.answeredBefore ? MAX_PAUSE_MS : MAX_PAUSE_BEFORE_FIRST_ANSWER_MS;
     const delayMs = this.pauseMs * (1 - JITTER_SHARE * this.random.next());
     this.cancelTimer = this.clock.schedule(delayMs, () => {
       this.cancelTimer = undefined;
--- a/src/store/store-eras.ts
+++ b/src/store/store-eras.ts
@@ -1,20 +1,21 @@
 /**
- * Eras of the store. A store that comes back from an older copy of itself has forgotten what it
- * acknowledged since, gives the same revisions and leases out again, and tells so by a number in each
- * answer that rises by one each time. What was learned in an earlier era is void in a later one.
+ * Eras of the store. A store that is restored from an older copy of its data has lost what it
+ * acknowledged since that copy, and assigns the same revisions and leases again. Each answer carries
+ * the era, a number that increases by one with each restore. What was read in an earlier era is no
+ * longer valid in a later one.
  */
 
 import type { StoreEraSink } from './metadata-store.js';
 
-/** Called when the store has come back from an older copy. */
+/** Called when the store has been restored from an older copy. */
 export type EraListener = (era: number, previous: number) => void;
 
-/** See the module comment. */
+/** Tracks the newest era and notifies listeners when it changes. */
 export class StoreEras implements StoreEraSink {
   private newest: number | undefined;
   private readonly listeners: EraListener[] = [];
 
-  /** Newest era that an answer has told; undefined: none, or the store tells none. */
+  /** Newest era received; undefined: no answer yet, or the store sends no era. */
   get current(): number | undefined {
     return this.newest;
   }
@@ -24,7 +25,7 @@
     this.listeners.push(listener);
   }
 
-  /** An answer of an earlier era was under way while the store changed. */
+  /** Rejects answers of an earlier era, which were in transit while the store was restored. */
   accept(era: number | undefined): boolean {
     const previous = this.newest;
     if (era === undefined || era === previous) return true;
