--- a/src/http/accept-burst.test.ts
+++ b/src/http/accept-burst.test.ts
@@ -1,4 +1,4 @@
-/** The order of new connections and requests, under virtual time and over real sockets. */
+/** Order of new connections and requests, under a manual clock and over real sockets. */
 import assert from 'node:assert/strict';
 import { createServer, type Server, type ServerResponse } from 'node:http';
 import { connect, type AddressInfo, type Socket } from 'node:net';
@@ -6,7 +6,7 @@
 import { ManualClock, systemClock } from '../kernel/clock.js';
 import { AcceptBurst, MAX_HOLD_MS } from './accept-burst.js';
 
-interface Bench {
+interface Harness {
   readonly burst: AcceptBurst;
   readonly clock: ManualClock;
   readonly done: string[];
@@ -14,7 +14,7 @@
   endTurn(): void;
 }
 
-function createBench(): Bench {
+function createHarness(): Harness {
   const clock = new ManualClock();
   const turns: (() => void)[] = [];
   const burst = new AcceptBurst(clock, (callback) => turns.push(callback));
@@ -26,13 +26,13 @@
 }
 
 test('a request is handled at once while no connection waits', () => {
-  const { done, request } = createBench();
+  const { done, request } = createHarness();
   request('a');
   assert.deepEqual(done, ['a']);
 });
 
-test('requests wait until a turn accepts no connection, and keep their order', () => {
-  const { burst, done, request, endTurn } = createBench();
+test('requests wait for a turn that accepts no connection, and keep their order', () => {
+  const { burst, done, request, endTurn } = createHarness();
   burst.noteConnection();
   request('a');
   endTurn();
@@ -46,8 +46,8 @@
   assert.deepEqual(done, ['a', 'b', 'c']);
 });
 
-test('an endless burst holds requests back for a limited time', () => {
-  const { burst, clock, done, request, endTurn } = createBench();
+test('an endless burst delays requests for a limited time', () => {
+  const { burst, clock, done, request, endTurn } = createHarness();
   burst.noteConnection();
   request('a');
   for (let waitedMs = 0; waitedMs < MAX_HOLD_MS; waitedMs += 1) {
@@ -59,8 +59,8 @@
   assert.deepEqual(done, ['a']);
 });
 
-test('what is to come after waiting connections comes after a turn without one', () => {
-  const { burst, done, endTurn } = createBench();
+test('afterWaiting runs its task once a turn accepts no connection', () => {
+  const { burst, done, endTurn } = createHarness();
   burst.afterWaiting(() => done.push('closed'));
   endTurn();
   burst.noteConnection();
@@ -76,7 +76,7 @@
 /** Work of the server for each request, in milliseconds. */
 const WORK_MS = 4;
 /** Requests of each older connection that may be handled before those of new connections. */
-const MOST_ROUNDS = 5;
+const MAX_ROUNDS = 5;
 
 function work(): void {
   const end = performance.now() + WORK_MS;
@@ -114,7 +114,7 @@
   socket.write('GET / HTTP/1.1\r\nHost: a\r\n\r\n');
 }
 
-/** Guards against requests that wait for seconds on connections that are not accepted. */
+/** Guards against requests that wait for seconds because their connections are not accepted. */
 test('new connections are served while older ones keep the server busy', async (context) => {
   const server = await startServer();
   const sockets: Socket[] = [];
@@ -147,6 +147,6 @@
     }
   });
   const rounds = (busyAnswers - answersBefore) / BUSY_CONNECTIONS;
-  context.diagnostic(`${rounds} requests of each older connection went before`);
-  assert.ok(rounds <= MOST_ROUNDS, `${rounds}`);
+  context.diagnostic(`${rounds} requests of each older connection were handled first`);
+  assert.ok(rounds <= MAX_ROUNDS, `${rounds}`);
 });
--- a/src/http/accept-burst.ts
+++ b/src/http/accept-burst.ts
@@ -1,21 +1,21 @@
 /**
- * Holds requests back while new connections wait to be accepted. The event loop accepts one
- * connection per turn: with requests to handle in each turn, a burst of connections, as after a
+ * Delays requests while new connections wait to be accepted. The event loop accepts one connection
+ * per turn. If requests were handled in each turn, the connections of a burst, such as after a
  * restart, would wait for seconds while requests on older connections are served.
  */
 import type { Clock } from '../kernel/clock.js';
 
-/** Longest time for which requests are held back, in milliseconds. */
+/** Longest time for which requests are delayed, in milliseconds. */
 export const MAX_HOLD_MS = 100;
 
-/** Calls back after the events of the current turn of the event loop. */
+/** Calls `callback` after the events of the current turn of the event loop. */
 export type EndOfTurn = (callback: () => void) => unknown;
 
-/** New connections of one listener; see the module comment. */
+/** Tracks bursts of new connections of one listener. */
 export class AcceptBurst {
   private acceptedInTurn = false;
-  /** Start of the burst; undefined while no burst is under way. */
-  private since: number | undefined;
+  /** Local monotonic time in milliseconds; undefined while there is no burst. */
+  private burstStartedAt: number | undefined;
   private held: (() => void)[] = [];
 
   constructor(
@@ -23,34 +23,34 @@
     private readonly endOfTurn: EndOfTurn = setImmediate,
   ) {}
 
-  /** A connection was accepted; more may wait. */
+  /** Records that a connection was accepted; more may wait. */
   noteConnection(): void {
     this.acceptedInTurn = true;
-    this.begin();
+    this.startBurst();
   }
 
-  /** Runs a task now, or after the burst that is under way. */
+  /** Runs a task now, or after the current burst. */
   run(task: () => void): void {
-    if (this.since === undefined) task();
+    if (this.burstStartedAt === undefined) task();
     else this.held.push(task);
   }
 
-  /** Runs a task once the connections that wait now have been accepted. */
+  /** Runs a task once the connections that now wait have been accepted. */
   afterWaiting(task: () => void): void {
     this.noteConnection();
     this.held.push(task);
   }
 
-  /** Runs now what is held back. */
+  /** Runs all delayed tasks now. */
   release(): void {
     const tasks = this.held;
     this.held = [];
     for (const task of tasks) task();
   }
 
-  private begin(): void {
-    if (this.since !== undefined) return;
-    this.since = this.clock.now();
+  private startBurst(): void {
+    if (this.burstStartedAt !== undefined) return;
+    this.burstStartedAt = this.clock.now();
     this.checkAtEndOfTurn();
   }
 
@@ -61,14 +61,14 @@
   }
 
   private onEndOfTurn(): void {
-    const isOverdue = this.clock.now() - this.since! >= MAX_HOLD_MS;
+    const isOverdue = this.clock.now() - this.burstStartedAt! >= MAX_HOLD_MS;
     if (this.acceptedInTurn && !isOverdue) {
       this.acceptedInTurn = false;
       this.checkAtEndOfTurn();
       return;
     }
     this.acceptedInTurn = false;
-    this.since = undefined;
+    this.burstStartedAt = undefined;
     this.release();
   }
 }
--- a/src/http/caller-connection.ts
+++ b/src/http/caller-connection.ts
@@ -1,43 +1,44 @@
 /**
- * One connection of a caller. Its end is a sequence of states, so that no request is taken whose
- * answer cannot be given and no answer is thrown away:
+ * One connection of a caller. It closes in phases, so that no request is accepted that cannot be
+ * answered, and no answer is lost:
  *
- * 1. open: requests are taken;
- * 2. answering: no further request is taken, those that were are answered;
- * 3. closing: this side has ended, what the caller still sends is read and dropped. Closing with
- *    unread bytes would reset the connection, and the caller could lose the last answer.
+ * 1. open: requests are accepted;
+ * 2. answering: no further requests are accepted; accepted requests are answered;
+ * 3. closing: this side has ended the connection; bytes that the caller still sends are read and
+ *    dropped. Closing with unread bytes would reset the connection, and the caller could lose the
+ *    last answer.
  */
 import type { ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import type { CancelTimer, Clock } from '../kernel/clock.js';
 
-/** Wait for a caller's own end of a connection that this side has ended, in milliseconds. */
+/** Longest wait for the caller to end a connection that this side has ended, in milliseconds. */
 export const CALLER_END_TIMEOUT_MS = 2_000;
 
 /** Which side ended a connection. */
 export type ConnectionSide = 'caller' | 'node';
 
-/** What a request can be told by its connection. */
-export interface TakenRequest {
+/** Callbacks of a connection to a request that it accepted. */
+export interface AcceptedRequest {
   /**
-   * The connection ended first.
+   * The connection ended before the whole answer was written.
    *
    * @param answered whether an answer was being written
    */
   onConnectionEnd(endedBy: ConnectionSide, answered: boolean): void;
-  /** The request must be answered now: nothing more can be waited for. */
+  /** Requires that the request is answered now, without waiting any longer. */
   giveUp(): void;
 }
 
-/** A request that was taken, on its connection. */
+/** State of one accepted request on its connection. */
 export interface ConnectionSlot {
-  request: TakenRequest | undefined;
+  request: AcceptedRequest | undefined;
   answered: boolean;
 }
 
 type Phase = 'open' | 'answering' | 'closing';
 
-/** See the module comment. */
+/** Tracks the phase and the unanswered requests of one connection. */
 export class CallerConnection {
   private phase: Phase = 'open';
   private endedBy: ConnectionSide = 'caller';
@@ -49,39 +50,39 @@
     private readonly clock: Clock,
     onClosed: () => void,
   ) {
-    // node:http ends a connection by this method after an answer with `Connection: close`; its own
-    // form destroys the socket, which resets it when bytes of a next request are unread.
+    // node:http calls this method after an answer with `Connection: close`. The original destroys the
+    // socket, which resets the connection when bytes of a next request are unread.
     socket.destroySoon = () => {
       this.end();
     };
     socket.on('close', () => {
       this.cancelTimeout();
       onClosed();
-      this.cutOff();
+      this.notifyConnectionEnd();
     });
   }
 
-  /** Whether a request that arrives now is taken. */
+  /** Whether a request that arrives now is accepted. */
   get takesRequests(): boolean {
     return this.phase === 'open';
   }
 
-  /** Requests that were taken and whose answers are not wholly written. */
+  /** Accepted requests whose answers are not fully written. */
   get unfinishedCount(): number {
     return this.slots.size;
   }
 
-  /** Whether no request was taken after this one. */
+  /** Whether no request was accepted after this one. */
   isNewest(slot: ConnectionSlot): boolean {
     return [...this.slots].at(-1) === slot;
   }
 
-  /** Whether the answer to a request that was taken can still be given. */
+  /** Whether an accepted request can still be answered. */
   awaitsAnswer(slot: ConnectionSlot): boolean {
     return this.slots.has(slot);
   }
 
-  /** Takes a request; it is finished when its answer has been handed to the system. */
+  /** Accepts a request. It is finished when its answer has been passed to the operating system. */
   take(response: ServerResponse): ConnectionSlot {
     const slot: ConnectionSlot = { request: undefined, answered: false };
     this.slots.add(slot);
@@ -92,22 +93,22 @@
     return slot;
   }
 
-  /** Takes no further request; ends when all that were taken are answered. */
+  /** Accepts no further requests; ends when all accepted requests are answered. */
   finish(): void {
     if (this.phase === 'open') this.phase = 'answering';
     this.endWhenFinished();
   }
 
-  /** Has all unanswered requests answered now. */
+  /** Makes all unanswered requests answer now. */
   giveUp(): void {
     for (const { request, answered } of [...this.slots]) if (!answered) request?.giveUp();
   }
 
-  /** Ends at once, with what is under way. */
+  /** Ends at once, and cuts off the requests in progress. */
   destroy(): void {
     this.phase = 'closing';
     this.endedBy = 'node';
-    this.cutOff();
+    this.notifyConnectionEnd();
     this.socket.destroy();
   }
 
@@ -125,8 +126,8 @@
     });
   }
 
-  /** Tells all requests that are left that the connection is gone. */
-  private cutOff(): void {
+  /** Notifies all unfinished requests that the connection has ended. */
+  private notifyConnectionEnd(): void {
     const left = [...this.slots];
     this.slots.clear();
     for (const { request, answered } of left) request?.onConnectionEnd(this.endedBy, answered);
--- a/src/sidecar/entry/caller-exchange.ts
+++ b/src/sidecar/entry/caller-exchange.ts
@@ -1,4 +1,4 @@
-/** One request of a caller and its answer, on top of `node:http`'s objects. */
+/** One caller's request and its answer, on top of `node:http`. */
 import { hasBody } from '../../core/answer-body.js';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { BufferReservation } from '../../core/byte-budget.js';
@@ -6,14 +6,14 @@
 import { ResultCode } from '../../core/result-code.js';
 import type { RawFields } from '../link/link-messages.js';
 
-/** An answer as a caller gets it. */
+/** An answer to a caller. */
 export interface CallerAnswer {
   readonly status: number;
   readonly fields: RawFields;
   readonly body: Uint8Array;
 }
 
-/** See the module comment. */
+/** Reads one request and sends its answer. */
 export class CallerExchange {
   readonly method: string;
   /** Path with query. */
@@ -24,27 +24,27 @@
   constructor(
     readonly request: IncomingMessage,
     private readonly response: ServerResponse,
-    /** When the head of the request had been read, in milliseconds of the monotonic clock. */
+    /** Monotonic time at which the head of the request had been read, in milliseconds. */
     readonly receivedAt: number,
   ) {
     this.method = request.method ?? '';
     this.path = request.url ?? '';
     this.fields = request.rawHeaders;
     response.on('error', () => {
-      // The end of the connection is reported by its socket.
+      // Handled by the socket, which reports the end of the connection.
     });
   }
 
-  /** Value of a field, by its name in lower case. */
+  /** Returns the value of a header field; `name` is in lower case. */
   field(name: string): string | undefined {
     const value = this.request.headers[name];
     return typeof value === 'string' ? value : undefined;
   }
 
   /**
-   * Reads the whole body; `onBody` is not called when the connection ends first.
+   * Reads the whole body. `onBody` is not called if the connection ends first.
    *
-   * @param reservation covers what is held
+   * @param reservation grows to cover the bytes read so far
    */
   readBody(
     maxBytes: number,
@@ -69,7 +69,7 @@
       if (done) return;
       length += chunk.length;
       if (length > maxBytes) {
-        finish(createFailure(ResultCode.BodyTooLarge, `more than ${maxBytes} bytes`));
+        finish(createFailure(ResultCode.BodyTooLarge, `request body exceeds ${maxBytes} bytes`));
       } else if (!reservation.cover(length)) {
         finish(createFailure(ResultCode.BufferExhausted, 'no buffer left for the request'));
       } else {
@@ -82,9 +82,9 @@
   }
 
   /**
-   * Sends the whole answer, once.
+   * Sends the whole answer. Further calls have no effect.
    *
-   * @param connectionFields fields about the connection
+   * @param connectionFields header fields about the connection
    */
   answer({ status, fields, body }: CallerAnswer, connectionFields: RawFields): void {
     const { response } = this;
--- a/src/sidecar/entry/callers-drain.ts
+++ b/src/sidecar/entry/callers-drain.ts
@@ -1,6 +1,6 @@
 /**
- * The planned stop of the callers' interface. It ends in a state in which nothing is under way and
- * nothing can begin: no connection or request is taken any more, all that was taken is answered.
+ * Drains the callers' interface at a planned stop. Afterwards no connection or request is accepted,
+ * and all accepted requests are answered.
  */
 import type { Clock } from '../../kernel/clock.js';
 import { Event, type EventLog } from '../../kernel/event.js';
@@ -8,20 +8,19 @@
 import type { PlannedStop } from './planned-stop.js';
 
 const CHECK_INTERVAL_MS = 50;
-/** Time to write the answers of requests that are given up, in milliseconds. */
-const LAST_ANSWERS_MS = 250;
+/** Time to write the answers to abandoned requests, in milliseconds. */
+const FINAL_ANSWERS_TIMEOUT_MS = 250;
 
-/** What a drain works with. */
 export interface CallersDrainOptions {
   readonly listener: EntryListener;
   readonly plannedStop: PlannedStop;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Requests that run at the own target, whose calls come over the callers' interface. */
+  /** Requests that run at the local target. The calls that they make come over the callers' interface. */
   runningAtTarget(): number;
 }
 
-/** See the module comment. */
+/** One planned stop of the callers' interface. */
 export class CallersDrain {
   private readonly startedAt: number;
 
@@ -29,13 +28,13 @@
     this.startedAt = options.clock.now();
   }
 
-  /** @param endAt time of the monotonic clock at which what is under way is given up, in ms */
+  /** @param endAt monotonic time at which requests in progress are abandoned, in milliseconds */
   async run(endAt: number): Promise<void> {
     const { listener, plannedStop, clock } = this.options;
     plannedStop.begin(this.startedAt, endAt);
     listener.closeAfterAnswers();
     await this.waitUntil(() => plannedStop.isRefusing(clock.now()) && this.isIdle());
-    // From here on nothing can begin, so that nothing comes between this look and the end.
+    // Nothing is accepted from here on, so that no request can begin between the check above and the end.
     listener.finish();
     await this.waitUntil(() => listener.connectionCount === 0);
     if (plannedStop.isOver(clock.now())) await this.giveUp();
@@ -46,7 +45,7 @@
     const { listener, clock } = this.options;
     this.logEnd('time-limit');
     listener.giveUp();
-    const end = clock.now() + LAST_ANSWERS_MS;
+    const end = clock.now() + FINAL_ANSWERS_TIMEOUT_MS;
     while (listener.requestCount > 0 && clock.now() < end) await this.pause();
   }
 
@@ -55,9 +54,9 @@
     return listener.requestCount === 0 && runningAtTarget() === 0;
   }
 
-  private async waitUntil(holds: () => boolean): Promise<void> {
+  private async waitUntil(condition: () => boolean): Promise<void> {
     const { plannedStop, clock } = this.options;
-    while (!holds() && !plannedStop.isOver(clock.now())) await this.pause();
+    while (!condition() && !plannedStop.isOver(clock.now())) await this.pause();
   }
 
   private pause(): Promise<void> {
--- a/src/sidecar/entry/entry-listener.test.ts
+++ b/src/sidecar/entry/entry-listener.test.ts
@@ -1,4 +1,4 @@
-/** The callers' listener on real sockets: what the end of a connection does to its requests. */
+/** The callers' listener on real sockets: effects of the end of a connection on its requests. */
 import assert from 'node:assert/strict';
 import { connect, type Socket } from 'node:net';
 import { afterEach, beforeEach, test } from 'node:test';
@@ -9,17 +9,17 @@
 import type { CallerAnswer, CallerExchange } from './caller-exchange.js';
 import { EntryListener } from './entry-listener.js';
 
-/** More than the sockets' buffers of both ends take, in bytes. */
+/** More than the socket buffers of both ends hold. */
 const LARGE_BYTES = 16 * 1024 * 1024;
 
-/** One request that the listener took. */
-interface Taken {
+/** One request that the listener accepted. */
+interface TestRequest {
   readonly path: string;
   readonly answer: (answer: CallerAnswer) => void;
   end: { readonly by: ConnectionSide; readonly answered: boolean } | undefined;
 }
 
-/** A caller that collects what it gets. */
+/** A caller that collects the bytes it receives. */
 class Caller {
   readonly socket: Socket;
   private readonly chunks: Buffer[] = [];
@@ -44,20 +44,20 @@
 
 let port: number;
 let listener: EntryListener;
-let taken: Taken[];
-let notTaken: string[];
+let acceptedRequests: TestRequest[];
+let droppedPaths: string[];
 let callers: Caller[];
 
 beforeEach(async () => {
-  taken = [];
-  notTaken = [];
+  acceptedRequests = [];
+  droppedPaths = [];
   callers = [];
   port = await findFreePort();
   listener = new EntryListener(
     {
       handle: (exchange: CallerExchange, answer) => {
-        const request: Taken = { path: exchange.path, answer, end: undefined };
-        taken.push(request);
+        const request: TestRequest = { path: exchange.path, answer, end: undefined };
+        acceptedRequests.push(request);
         return {
           onConnectionEnd: (by, answered) => (request.end = { by, answered }),
           giveUp: () => {
@@ -65,7 +65,7 @@
           },
         };
       },
-      onNotTaken: ({ path }) => notTaken.push(path),
+      onRequestDropped: ({ path }) => droppedPaths.push(path),
     },
     systemClock,
   );
@@ -84,54 +84,54 @@
 }
 
 async function waitForRequests(count: number): Promise<void> {
-  await waitUntil(() => taken.length === count);
+  await waitUntil(() => acceptedRequests.length === count);
 }
 
-function answer({ answer: send }: Taken, body: string | Buffer = 'ok'): void {
+function answer({ answer: send }: TestRequest, body: string | Buffer = 'ok'): void {
   send({ status: 200, fields: [], body: Buffer.from(body) });
 }
 
-test('requests behind one another are all answered before a stop ends their connection', async () => {
+test('all pipelined requests are answered before a stop ends their connection', async () => {
   const caller = connectCaller();
   caller.write('/1');
   caller.write('/2');
   await waitForRequests(2);
   listener.finish();
   caller.write('/3');
-  await waitUntil(() => notTaken.length === 1);
-  answer(taken[0]!, 'one');
-  answer(taken[1]!, 'two');
+  await waitUntil(() => droppedPaths.length === 1);
+  answer(acceptedRequests[0]!, 'one');
+  answer(acceptedRequests[1]!, 'two');
   await waitUntil(() => caller.ended);
   assert.match(caller.text, /one[^]*connection: close[^]*two$/i);
-  assert.deepEqual(notTaken, ['/3']);
+  assert.deepEqual(droppedPaths, ['/3']);
   assert.equal(caller.reset, false);
 });
 
-test('of requests behind one another the last in order closes, whichever is answered first', async () => {
+test('the last of pipelined requests closes the connection, whichever is answered first', async () => {
   const caller = connectCaller();
   for (const path of ['/1', '/2', '/3']) caller.write(path);
   await waitForRequests(3);
   listener.closeAfterAnswers();
-  for (const index of [2, 1, 0]) answer(taken[index]!, `answer ${index + 1};`);
+  for (const index of [2, 1, 0]) answer(acceptedRequests[index]!, `answer ${index + 1};`);
   await waitUntil(() => caller.ended);
   assert.deepEqual(caller.text.match(/answer \d;/g), ['answer 1;', 'answer 2;', 'answer 3;']);
   assert.equal(caller.text.match(/connection: close/gi)?.length, 1);
-  assert.ok(taken.every(({ end }) => end === undefined));
+  assert.ok(acceptedRequests.every(({ end }) => end === undefined));
 });
 
-test('an answer that closes its connection arrives whole with a request behind it', async () => {
+test('an answer that closes its connection arrives whole although another request follows', async () => {
   const caller = connectCaller();
   caller.socket.pause();
   caller.write('/1');
   await waitForRequests(1);
   listener.closeAfterAnswers();
-  answer(taken[0]!, Buffer.alloc(LARGE_BYTES, 'x'));
+  answer(acceptedRequests[0]!, Buffer.alloc(LARGE_BYTES, 'x'));
   caller.write('/2');
   caller.socket.resume();
   await waitUntil(() => caller.ended);
   assert.equal(caller.text.split('\r\n\r\n')[1]?.length, LARGE_BYTES);
   assert.deepEqual(
-    taken.map(({ path }) => path),
+    acceptedRequests.map(({ path }) => path),
     ['/1'],
   );
 });
@@ -141,38 +141,38 @@
   caller.write('/1', 'Content-Length: 8000000\r\n');
   await waitForRequests(1);
   caller.socket.write(Buffer.alloc(4_000_000));
-  answer(taken[0]!, 'refused');
+  answer(acceptedRequests[0]!, 'refused');
   caller.socket.write(Buffer.alloc(4_000_000));
   await waitUntil(() => caller.text.endsWith('refused'));
   await waitUntil(() => caller.ended);
   assert.equal(caller.reset, false);
 });
 
-test('what is not HTTP behind a request does not cut off its answer', async () => {
+test('input that is not HTTP does not cut off the answer to the request before it', async () => {
   const caller = connectCaller();
   caller.write('/1');
   await waitForRequests(1);
   caller.socket.write('not HTTP\r\n\r\n');
   await new Promise((resolve) => setTimeout(resolve, 50));
-  answer(taken[0]!, 'whole');
+  answer(acceptedRequests[0]!, 'whole');
   await waitUntil(() => caller.ended);
   assert.match(caller.text, /connection: close[^]*whole$/i);
 });
 
-test('an idle connection is closed after its time, and nothing more is taken on it', async () => {
+test('an idle connection is closed after its timeout and accepts no more requests', async () => {
   listener.setLimits({ headerTimeoutMs: 1_000, idleTimeoutMs: -1_400, maxBodyBytes: 0 });
   const caller = connectCaller();
   caller.write('/1');
   await waitForRequests(1);
-  answer(taken[0]!);
+  answer(acceptedRequests[0]!);
   caller.socket.on('end', () => {
     caller.write('/2');
   });
   await waitUntil(() => caller.ended);
-  assert.equal(taken.length, 1);
+  assert.equal(acceptedRequests.length, 1);
 });
 
-test('requests are told which side ended their connection, and what is given up is answered', async () => {
+test('requests are notified which side ended their connection, and abandoned requests are answered', async () => {
   const [leaving, cut, patient] = [connectCaller(), connectCaller(), connectCaller()];
   leaving.write('/leaving');
   await waitForRequests(1);
@@ -181,26 +181,26 @@
   patient.write('/patient');
   await waitForRequests(3);
   leaving.socket.destroy();
-  await waitUntil(() => taken[0]!.end !== undefined);
-  assert.deepEqual(taken[0]!.end, { by: 'caller', answered: false });
-  answer(taken[1]!, Buffer.alloc(LARGE_BYTES));
+  await waitUntil(() => acceptedRequests[0]!.end !== undefined);
+  assert.deepEqual(acceptedRequests[0]!.end, { by: 'caller', answered: false });
+  answer(acceptedRequests[1]!, Buffer.alloc(LARGE_BYTES));
   cut.socket.pause();
   listener.finish();
   listener.giveUp();
   await waitUntil(() => patient.ended);
   assert.match(patient.text, /502[^]*given up$/);
   await listener.close();
-  assert.deepEqual(taken[1]!.end, { by: 'node', answered: true });
-  assert.equal(taken[2]!.end, undefined);
+  assert.deepEqual(acceptedRequests[1]!.end, { by: 'node', answered: true });
+  assert.equal(acceptedRequests[2]!.end, undefined);
 });
 
-test('a connection that comes up while the listener ends is ended and nothing taken on it', async () => {
+test('a connection that opens while the listener closes is ended and no request is accepted on it', async () => {
   const caller = connectCaller();
   await waitUntil(() => !caller.socket.connecting);
   listener.finish();
   caller.write('/late');
   await waitUntil(() => caller.ended);
-  assert.deepEqual(taken, []);
+  assert.deepEqual(acceptedRequests, []);
 });
 
 test('the address of a closed listener can be bound again at once', async () => {
@@ -208,16 +208,19 @@
   caller.write('/1');
   await waitForRequests(1);
   await listener.close();
-  const next = new EntryListener({ handle: () => assert.fail(), onNotTaken() {} }, systemClock);
+  const next = new EntryListener(
+    { handle: () => assert.fail(), onRequestDropped() {} },
+    systemClock,
+  );
   await next.listen('127.0.0.1', port);
   await next.close();
 });
 
-/** Connections that come up at once. */
+/** Connections that open at the same time. */
 const BURST = 30;
 
-/** Guards against connections of the accept queue that are reset when a planned stop ends the listener. */
-test('connections that wait to be accepted are ended in order at a planned stop', async () => {
+/** Guards against a reset of the connections in the accept queue when a planned stop closes the listener. */
+test('connections that wait to be accepted are closed without a reset at a planned stop', async () => {
   const burst = Array.from({ length: BURST }, () => connectCaller());
   for (const { socket } of burst) {
     socket.once('connect', () => {
@@ -231,12 +234,12 @@
 test('requests of a burst are answered when the listener gives up', async () => {
   const burst = Array.from({ length: BURST }, () => connectCaller());
   for (const [index, caller] of burst.entries()) caller.write(`/${index}`);
-  await waitUntil(() => taken.length > 0);
+  await waitUntil(() => acceptedRequests.length > 0);
   listener.closeAfterAnswers();
   await waitUntil(() => {
     listener.giveUp();
     return burst.every(({ text }) => text.includes('given up'));
   });
-  assert.equal(taken.length, BURST);
-  assert.deepEqual(notTaken, []);
+  assert.equal(acceptedRequests.length, BURST);
+  assert.deepEqual(droppedPaths, []);
 });
--- a/src/sidecar/entry/entry-listener.ts
+++ b/src/sidecar/entry/entry-listener.ts
@@ -1,4 +1,4 @@
-/** The callers' interface: connections, requests on them and their answers, on `node:http`. */
+/** Serves the callers' interface over `node:http`: connections, their requests and the answers. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { Server as NetServer, type Socket } from 'node:net';
 import { AcceptBurst } from '../../http/accept-burst.js';
@@ -8,32 +8,32 @@
 import {
   CallerConnection,
   type ConnectionSlot,
-  type TakenRequest,
+  type AcceptedRequest,
 } from '../../http/caller-connection.js';
 import { CallerExchange, type CallerAnswer } from './caller-exchange.js';
 
 const MAX_HEADER_BYTES = 64 * 1024;
-/** How late the end of the time for a request's head may be noticed; each check wakes the process. */
+/** Longest delay until a late request head is noticed. A shorter interval would wake the process more often. */
 const CONNECTION_CHECK_INTERVAL_MS = 1_000;
 const MS_PER_SECOND = 1_000;
-/** A connection is kept this much longer than its caller is told. */
+/** Connections stay open for this much longer than the time that callers are told. */
 const IDLE_GRACE_MS = 1_500;
 
-/** Serves the requests that the listener takes. */
+/** Handles the requests that the listener accepts. */
 export interface ExchangeHandler {
-  /** Takes one request, which is answered at most once. */
-  handle(exchange: CallerExchange, answer: (answer: CallerAnswer) => void): TakenRequest;
-  /** A request came on a connection that ends without an answer to it; it is not run. */
-  onNotTaken(exchange: CallerExchange): void;
+  /** Handles one request, which is answered at most once. */
+  handle(exchange: CallerExchange, answer: (answer: CallerAnswer) => void): AcceptedRequest;
+  /** A request is dropped because its connection ends without an answer to it; it is not run. */
+  onRequestDropped(exchange: CallerExchange): void;
 }
 
-/** See the module comment. */
+/** Listener of the callers' interface. */
 export class EntryListener {
   private readonly server: Server;
   private readonly connections = new Map<Socket, CallerConnection>();
-  /** Each answer closes its connection. */
+  /** Whether each answer closes its connection. */
   private draining = false;
-  /** Settles when the address is free; defined once no request is taken any more. */
+  /** Resolves when the address is free; defined once no more requests are accepted. */
   private closed: Promise<void> | undefined;
   private keepAliveFields: RawFields = [];
   private readonly burst: AcceptBurst;
@@ -56,7 +56,7 @@
     this.server.on('request', (request, response) => {
       this.onRequest(request, response);
     });
-    // A connection that was idle for too long; what crosses its end is not taken.
+    // The connection was idle for too long. Requests that cross its end are not accepted.
     this.server.on('timeout', (socket) => {
       this.connections.get(socket)?.finish();
     });
@@ -65,19 +65,19 @@
     });
   }
 
-  /** Connections that are open. */
+  /** Open connections. */
   get connectionCount(): number {
     return this.connections.size;
   }
 
-  /** Requests whose answers are not wholly written. */
+  /** Requests whose answers are not fully written. */
   get requestCount(): number {
     let count = 0;
     for (const connection of this.connections.values()) count += connection.unfinishedCount;
     return count;
   }
 
-  /** Takes over what the rules say of callers. */
+  /** Applies the rules' limits on callers. */
   setLimits({ headerTimeoutMs, idleTimeoutMs }: CallerLimits): void {
     this.server.headersTimeout = headerTimeoutMs + IDLE_GRACE_MS;
     this.server.keepAliveTimeout = idleTimeoutMs + IDLE_GRACE_MS;
@@ -96,17 +96,17 @@
     });
   }
 
-  /** From now on each answer closes its connection, unless others wait behind it. */
+  /** From now on each answer closes its connection, unless later requests of the connection are unanswered. */
   closeAfterAnswers(): void {
     this.draining = true;
   }
 
-  /** From now on no connection and no request is taken; connections end with their answers. */
+  /** Accepts no more connections and requests. Connections end after their pending answers. */
   finish(): void {
     if (this.closed !== undefined) return;
     this.closed = new Promise((resolve) => {
-      // Not the HTTP server's own close, which destroys idle connections. After the connections that
-      // wait have been accepted, so that they are ended in order and not reset.
+      // Waits until pending connections have been accepted, so that they are closed in order and not reset.
+      // Uses net.Server's close, since that of the HTTP server destroys idle connections.
       this.burst.afterWaiting(() => {
         NetServer.prototype.close.call(this.server, () => resolve());
       });
@@ -114,13 +114,13 @@
     for (const connection of [...this.connections.values()]) connection.finish();
   }
 
-  /** Has all requests answered now. */
+  /** Makes all unanswered requests answer now. */
   giveUp(): void {
     this.burst.release();
     for (const connection of [...this.connections.values()]) connection.giveUp();
   }
 
-  /** Closes everything; what is cut off is told at once. Resolves when the address is free. */
+  /** Closes everything and notifies the requests that are cut off. Resolves when the address is free. */
   async close(): Promise<void> {
     this.finish();
     this.destroyAll();
@@ -149,7 +149,7 @@
     const exchange = new CallerExchange(request, response, this.clock.now());
     if (connection?.takesRequests !== true) {
       request.resume();
-      this.handler.onNotTaken(exchange);
+      this.handler.onRequestDropped(exchange);
       return;
     }
     const slot = connection.take(response);
@@ -164,7 +164,7 @@
     exchange: CallerExchange,
   ): void {
     if (!connection.awaitsAnswer(slot)) {
-      this.handler.onNotTaken(exchange);
+      this.handler.onRequestDropped(exchange);
       return;
     }
     slot.request = this.handler.handle(exchange, (answer) => {
@@ -186,8 +186,8 @@
   }
 
   /**
-   * Answers leave in the order of their requests, in whichever order they are ready: one that closes
-   * the connection before the newest request's turn would lose the answers behind it.
+   * Answers are sent in the order of their requests, whichever is ready first. If one before the newest
+   * request's closed the connection, the answers after it would be lost.
    */
   private shouldClose(
     connection: CallerConnection,
@@ -199,7 +199,7 @@
     return this.draining || !connection.takesRequests || !request.complete;
   }
 
-  /** Input that is not HTTP, or a head that is late: what was taken before it is still answered. */
+  /** The input is not HTTP, or a request head is late. Requests accepted before it are still answered. */
   private onInputError(socket: Socket): void {
     const connection = this.connections.get(socket);
     if (connection === undefined || connection.unfinishedCount === 0) socket.destroy();
--- a/src/sidecar/entry/entry-service.ts
+++ b/src/sidecar/entry/entry-service.ts
@@ -1,4 +1,4 @@
-/** Takes callers' requests: reads them, finds their route, has them routed and answers them. */
+/** Handles callers' requests: reads each one, finds its route, sends it to a target and answers it. */
 import { Result } from 'true-myth';
 import type { ByteBudget } from '../../core/byte-budget.js';
 import { createFailure, type Failure } from '../../core/failure.js';
@@ -17,24 +17,23 @@
 import type { Route, RouteTable } from '../rules/route-table.js';
 import { criticalityOf } from '../rules/routing-rules.js';
 import type { ActiveRules } from '../rules/active-rules.js';
-import type { ConnectionSide, TakenRequest } from '../../http/caller-connection.js';
+import type { ConnectionSide, AcceptedRequest } from '../../http/caller-connection.js';
 import type { CallerAnswer, CallerExchange } from './caller-exchange.js';
 import type { ExchangeHandler } from './entry-listener.js';
-import { createStopping, type PlannedStop } from './planned-stop.js';
-import { createOwnAnswer } from './refusal-answer.js';
+import { createDrainingFailure, type PlannedStop } from './planned-stop.js';
+import { createProblemAnswer } from './problem-answer.js';
 import type { TargetGateway } from '../target/target-gateway.js';
 import { RoutedRequest, type RequestEnd } from './routed-request.js';
 import type { ServiceRouters } from './service-routers.js';
 
-/** What the entry works with. */
 export interface EntryServiceOptions {
   readonly fields: FieldNames;
   readonly forwardedFields: ForwardedFields;
   /** See {@link PlatformAdapter.parentOf}. */
   parentOf(attemptId: string): string | undefined;
-  /** The own target's requests, under which it makes calls. */
+  /** Holds the local target's requests, for which it makes calls. */
   readonly gateway: TargetGateway;
-  /** Service of the machine on which requests begin here. */
+  /** Service on this machine, sent to targets as the caller of the requests that begin here. */
   readonly callerService: string;
   readonly rules: ActiveRules;
   readonly routers: ServiceRouters;
@@ -46,10 +45,10 @@
   readonly buffers: ByteBudget;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Repeats beyond their share that all nodes have together. */
-  repeatSlack(): number;
+  /** Retries that all nodes together may send beyond the retry ratio. */
+  retrySlack(): number;
   onRequestEnd(kind: string, code: number, seconds: number): void;
-  /** A connection ended before the whole answer to a request. */
+  /** A connection ended before a request was fully answered. */
   onUnanswered(endedBy: ConnectionSide): void;
 }
 
@@ -59,35 +58,35 @@
 const NOT_READY_RETRY_MS = 500;
 const UNCOUNTED_RETRY_MS = 300;
 const NO_KIND = '';
-/** Lowest status that says that a target failed. */
+/** Lowest status that stands for a failure of the target. */
 const SERVER_ERROR = 500;
 
-/** See the module comment. */
+/** Handles the requests of an {@link EntryListener}. */
 export class EntryService implements ExchangeHandler {
   constructor(private readonly options: EntryServiceOptions) {}
 
-  handle(exchange: CallerExchange, answer: Answer): TakenRequest {
+  handle(exchange: CallerExchange, answer: Answer): AcceptedRequest {
     const request = new EntryRequest(this.options, exchange, answer);
     request.start();
     return request;
   }
 
-  onNotTaken(exchange: CallerExchange): void {
+  onRequestDropped(exchange: CallerExchange): void {
     const { log, fields } = this.options;
     log.emit(Event.RequestAfterClose, { id: exchange.field(fields.attemptId) });
   }
 }
 
 /** One request from its head to its answer. */
-class EntryRequest implements TakenRequest {
+class EntryRequest implements AcceptedRequest {
   private readonly receivedAt: number;
   private readonly reservation;
   private routed: RoutedRequest | undefined;
   private context: RequestContext | undefined;
   private token: QuotaToken | undefined;
-  /** Ends the wait for the limit's count. */
+  /** Stops waiting until the request is counted against its tenant's limit. */
   private cancelWait: () => void = () => {};
-  /** Whether it was answered, or its connection ended. */
+  /** Whether the request was answered or its connection ended. */
   private ended = false;
 
   constructor(
@@ -123,18 +122,18 @@
   }
 
   giveUp(): void {
-    if (this.routed !== undefined) this.routed.giveUp(createStopping());
-    else this.refuse(createStopping());
+    if (this.routed !== undefined) this.routed.giveUp(createDrainingFailure());
+    else this.refuse(createDrainingFailure());
   }
 
-  /** Before the body is read, and again afterwards when that took time. */
+  /** Checks the authorization before the body is read; {@link readBody} checks it again afterwards. */
   private authorize(table: RouteTable, route: Route): void {
-    const authorized = this.checkAuthorized(table, route);
+    const authorized = this.checkAuthorization(table, route);
     if (authorized.isErr) this.refuse(authorized.error);
     else this.readBody(table, route, authorized.value);
   }
 
-  private checkAuthorized(table: RouteTable, route: Route): Result<Authorized, Failure> {
+  private checkAuthorization(table: RouteTable, route: Route): Result<Authorized, Failure> {
     const { authorizer, fields, parentOf, gateway } = this.options;
     const parentId = parentOf(this.exchange.field(fields.attemptId) ?? '');
     return authorizer.authorize(table, route, {
@@ -152,13 +151,14 @@
         this.refuse(body);
         return;
       }
-      const still = body.length === 0 ? Result.ok(authorized) : this.checkAuthorized(table, route);
-      if (still.isErr) this.refuse(still.error);
-      else this.admitByLimit(route, body, still.value);
+      const rechecked =
+        body.length === 0 ? Result.ok(authorized) : this.checkAuthorization(table, route);
+      if (rechecked.isErr) this.refuse(rechecked.error);
+      else this.admitByLimit(route, body, rechecked.value);
     });
   }
 
-  /** Counts the request against its tenant's limit, which may take a question to another node. */
+  /** Counts the request against its tenant's limit, which may require a request to another node. */
   private admitByLimit(route: Route, body: Uint8Array, authorized: Authorized): void {
     const { name, limit } = authorized.tenant ?? {};
     if (name === undefined || limit === undefined) {
@@ -175,15 +175,15 @@
   private onQuotaDecision(decision: QuotaDecision, proceed: () => void): void {
     if (decision.type === 'granted') {
       this.token = decision.token;
-      if (this.ended) this.giveBackToken();
+      if (this.ended) this.returnToken();
       else proceed();
     } else {
       this.refuse(decision.type === 'refused' ? overLimit(decision.retryAfterMs) : uncounted());
     }
   }
 
-  /** What was counted and has not run does not count. */
-  private giveBackToken(): void {
+  /** A counted request that was not run is not charged to the tenant. */
+  private returnToken(): void {
     if (this.token !== undefined) this.options.quotas.giveBack(this.token);
     this.token = undefined;
   }
@@ -216,10 +216,10 @@
       maxAttempts: route.rules.maxAttempts,
       service: routers.of(service),
       clock,
-      repeatSlack: this.options.repeatSlack() / directory.size,
+      retrySlack: this.options.retrySlack() / directory.size,
       portOf: (node) => directory.portOf(node),
       ...(admission.type === 'trial' ? { onlyNode: admission.node } : {}),
-      mayRepeat: () => quarantine.mayRepeat(call),
+      mayRetry: () => quarantine.mayRepeat(call),
       onEnd: (end) => {
         this.noteDownstream(context, attemptId, end);
         this.onEnd(context, attemptId, end);
@@ -228,7 +228,7 @@
     this.routed.start();
   }
 
-  /** A call of the own target has the importance of the request that it is made for. */
+  /** Calls of the local target inherit the criticality of the request that they are made for. */
   private createContext(
     { rules }: Route,
     service: string,
@@ -238,22 +238,23 @@
     const { parentOf, gateway } = this.options;
     const parentId = parentOf(attemptId);
     const parent = parentId === undefined ? undefined : gateway.contextOf(parentId);
-    const told = Number(this.exchange.field(this.options.fields.timeLeft));
-    const wait = told > 0 ? Math.min(told, rules.timeoutMs) : rules.timeoutMs;
+    const callerTimeLeftMs = Number(this.exchange.field(this.options.fields.timeLeft));
+    const timeoutMs =
+      callerTimeLeftMs > 0 ? Math.min(callerTimeLeftMs, rules.timeoutMs) : rules.timeoutMs;
     return {
       requestId: parent?.requestId ?? attemptId,
       tenant: tenant?.name ?? parent?.tenant ?? '',
       service,
       kind: rules.name,
       criticality: parent?.criticality ?? criticalityOf(tenant?.rank, rules.rank),
-      deadline: this.receivedAt + wait,
+      deadline: this.receivedAt + timeoutMs,
       dueAt: this.receivedAt + rules.aimMs,
       idempotent: rules.idempotent,
       depth: parentId === undefined ? 0 : (parent?.depth ?? 0) + 1,
     };
   }
 
-  /** Calls of a run at the own target are always taken: refused, they would fail that run. */
+  /** Always admits calls for a request that runs at the local target: refusing them would fail that request. */
   private checkPlannedStop({ deadline }: RequestContext, attemptId: string): Failure | undefined {
     const { parentOf, gateway, plannedStop, clock } = this.options;
     const parentId = parentOf(attemptId);
@@ -293,7 +294,10 @@
     };
   }
 
-  /** The own target's gate refuses, before work is spent, what would be refused below it. */
+  /**
+   * Reports the result to the gate of the local target, so that the gate refuses requests that would be
+   * refused downstream before work is spent on them.
+   */
   private noteDownstream(
     { service, kind }: RequestContext,
     attemptId: string,
@@ -316,7 +320,7 @@
     this.ended = true;
     this.reservation.release();
     this.log(Event.RequestServed, context, { status: end.status });
-    this.note(context.kind, ResultCode.Ok);
+    this.recordMetrics(context.kind, ResultCode.Ok);
     const fields = this.options.forwardedFields.toCaller(end.fields, attemptId);
     this.answer({ ...end, fields });
   }
@@ -327,11 +331,11 @@
     this.cancelWait();
     this.reservation.release();
     const { code, detail, execution } = failure;
-    if (execution === 'not-run') this.giveBackToken();
+    if (execution === 'not-run') this.returnToken();
     const event = execution === 'not-run' ? Event.RequestRefused : Event.RequestFailed;
     this.log(event, context, { code, detail, execution });
-    this.note(context?.kind ?? NO_KIND, code);
-    this.answer(createOwnAnswer(failure));
+    this.recordMetrics(context?.kind ?? NO_KIND, code);
+    this.answer(createProblemAnswer(failure));
   }
 
   private log(
@@ -354,13 +358,13 @@
     });
   }
 
-  private note(kind: string, code: ResultCode): void {
+  private recordMetrics(kind: string, code: ResultCode): void {
     const seconds = (this.options.clock.now() - this.receivedAt) / MS_PER_SECOND;
     this.options.onRequestEnd(kind, code, seconds);
   }
 }
 
-/** Whether a call was refused for load, or failed because one below it was. */
+/** Whether a call was refused for load, or failed because a call that it made was. */
 function isRefusedForLoad(end: RequestEnd): boolean {
   if (end.type === 'answer') return end.refusedBelow === true;
   return isLoadRefusal(end.failure.code);
--- a/src/sidecar/entry/planned-stop.test.ts
+++ b/src/sidecar/entry/planned-stop.test.ts
@@ -6,8 +6,8 @@
 const END = 5_000;
 
 const CASES = [
-  { name: 'callers have not heard of the stop', now: 10, deadline: 60_000, refused: false },
-  { name: 'sure to end before the stop', now: 2_700, deadline: END, refused: false },
+  { name: 'callers do not know of the stop yet', now: 10, deadline: 60_000, refused: false },
+  { name: 'sure to end before the stop does', now: 2_700, deadline: END, refused: false },
   { name: 'may last longer than the stop', now: 2_700, deadline: END + 1, refused: true },
   { name: 'the stop is over', now: END + 1, deadline: END + 100, refused: true },
 ];
@@ -29,14 +29,14 @@
   assert.equal(new PlannedStop().check(1e9, Infinity), undefined);
 });
 
-test('a short stop leaves half of its time for what is under way', () => {
+test('a short stop leaves half of its time for requests in progress', () => {
   const stop = new PlannedStop();
   stop.begin(0, 1_000);
   assert.equal(stop.isRefusing(499), false);
   assert.equal(stop.isRefusing(500), true);
 });
 
-test('callers have the same time in every stop that is long enough', () => {
+test('callers have the same time to leave in every stop that is long enough', () => {
   const stop = new PlannedStop();
   stop.begin(0, 60_000);
   assert.equal(stop.isRefusing(LEAVING_PHASE_MS - 1), false);
--- a/src/sidecar/entry/refusal-answer.ts
+++ b/src/sidecar/entry/problem-answer.ts
@@ -1,4 +1,4 @@
-/** The node's own answers to callers: refusals and failures as problem documents (RFC 9457). */
+/** Answers to callers that the node itself makes: refusals and failures as problem documents (RFC 9457). */
 import type { Failure } from '../../core/failure.js';
 import { describeResultCode, ResultCode } from '../../core/result-code.js';
 import type { RawFields } from '../link/link-messages.js';
@@ -7,21 +7,21 @@
 const BAD_GATEWAY = 502;
 const UNAVAILABLE = 503;
 
-/** Statuses that say that the request has not run and never will. */
+/** Statuses that callers take to mean that the request has not run and never will. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** An answer of the node itself. */
-export interface OwnAnswer {
+/** An answer made by the node itself. */
+export interface ProblemAnswer {
   readonly status: number;
   readonly fields: RawFields;
   readonly body: Buffer;
 }
 
 /**
- * Builds the answer for a failure. A status that promises that the request was not run is used
- * only when that is known.
+ * Builds the answer for a failure. A status that means that the request was not run is used
+ * only when that is certain.
  */
-export function createOwnAnswer(failure: Failure): OwnAnswer {
+export function createProblemAnswer(failure: Failure): ProblemAnswer {
   const { code, title } = describeResultCode(failure.code);
   const status = statusOf(failure);
   const { detail, execution, retryAfterMs } = failure;
@@ -43,7 +43,7 @@
 function statusOf({ code, execution }: Failure): number {
   const { httpStatus } = describeResultCode(code);
   if (execution === 'not-run') {
-    // Input that is wrong says so; all else that was not run may be tried again.
+    // Invalid input keeps its own status. Any other request that was not run may be retried.
     return httpStatus < 500 && code !== ResultCode.Cancelled ? httpStatus : UNAVAILABLE;
   }
   return NOT_RUN_STATUSES.has(httpStatus) ? BAD_GATEWAY : httpStatus;
--- a/src/sidecar/entry/routed-request.test.ts
+++ b/src/sidecar/entry/routed-request.test.ts
@@ -7,7 +7,7 @@
 import { ManualClock } from '../../kernel/clock.js';
 import { createNotOffered } from '../link/attempt-port.js';
 import type { AttemptCall, AttemptEnd } from '../link/link-messages.js';
-import { RepeatBudget } from './repeat-budget.js';
+import { WindowedRetryBudget } from './windowed-retry-budget.js';
 import { RoutedRequest, type RequestEnd } from './routed-request.js';
 
 const CONTEXT: RequestContext = {
@@ -54,14 +54,14 @@
   };
 }
 
-/** One request under test; `targets` says which nodes are known. */
+/** One request under test. */
 class Scene {
   readonly clock = new ManualClock();
   readonly reports: AttemptReport[] = [];
   readonly sent: AttemptCall[] = [];
   readonly ends: RequestEnd[] = [];
   cancelled = 0;
-  endTry: (end: AttemptEnd) => void = () => {};
+  endAttempt: (end: AttemptEnd) => void = () => {};
   readonly request: RoutedRequest;
 
   constructor(
@@ -69,10 +69,10 @@
       idempotent?: boolean;
       known?: boolean;
       mayHaveRun?: boolean;
-      mayRepeat?: boolean;
+      mayRetry?: boolean;
     } = {},
   ) {
-    const { idempotent = true, known = true, mayHaveRun = true, mayRepeat = true } = overrides;
+    const { idempotent = true, known = true, mayHaveRun = true, mayRetry = true } = overrides;
     const router: ServiceRouter = {
       updateTargets: () => {},
       admit: () => undefined,
@@ -87,19 +87,19 @@
       maxAttempts: 2,
       service: {
         router,
-        repeats: new RepeatBudget({ ratio: 0, windowMs: 10_000, slack: 0 }),
-        noteTryStart: () => {},
-        noteTryEnd: () => {},
+        retryBudget: new WindowedRetryBudget({ ratio: 0, windowMs: 10_000, slack: 0 }),
+        noteAttemptStart: () => {},
+        noteAttemptEnd: () => {},
       },
       clock: this.clock,
-      repeatSlack: 5,
-      mayRepeat: () => mayRepeat,
+      retrySlack: 5,
+      mayRetry: () => mayRetry,
       portOf: () =>
         known
           ? {
               dispatch: (call, onEnd) => {
                 this.sent.push(call);
-                this.endTry = onEnd;
+                this.endAttempt = onEnd;
                 return () => {
                   this.cancelled += 1;
                   return mayHaveRun;
@@ -121,108 +121,108 @@
   }
 }
 
-test('an answer ends the request, and routing hears of it', () => {
+test('an answer ends the request and is reported to the router', () => {
   const scene = new Scene();
-  scene.endTry(ANSWER);
+  scene.endAttempt(ANSWER);
   assert.deepEqual(scene.executions(), [200]);
   assert.deepEqual(scene.outcomes(), ['success']);
 });
 
-test('routing hears of the end of a try whose caller went away', () => {
+test('the end of an attempt whose caller disconnected is reported to the router', () => {
   const scene = new Scene();
   scene.request.cancel();
-  scene.endTry(ANSWER);
+  scene.endAttempt(ANSWER);
   assert.deepEqual([scene.cancelled, scene.ends.length], [1, 0]);
   assert.deepEqual(scene.outcomes(), ['cancelled']);
 });
 
-test('routing hears of the end of a try at the deadline', () => {
+test('the end of an attempt at the deadline is reported to the router', () => {
   const scene = new Scene();
   scene.clock.advance(1_000);
   assert.deepEqual(scene.executions(), ['unknown']);
   assert.deepEqual(scene.outcomes(), ['timeout']);
 });
 
-test('a try that never left is not run at the deadline, and no fault of its target', () => {
+test('an attempt that was not sent by the deadline is not run, and not a failure of its target', () => {
   const scene = new Scene({ mayHaveRun: false });
   scene.clock.advance(1_000);
   assert.deepEqual(scene.executions(), ['not-run']);
   assert.deepEqual(scene.outcomes(), ['cancelled']);
 });
 
-test('a node that is not known any more ends the try at once', () => {
+test('an attempt at a node that is no longer known ends at once', () => {
   const scene = new Scene({ known: false });
   assert.deepEqual(scene.executions(), ['not-run']);
 });
 
-test('a repeatable request is sent to at most so many targets', () => {
+test('an idempotent request is sent to at most maxAttempts targets', () => {
   const scene = new Scene();
-  scene.endTry(failed('failed', true));
-  scene.endTry(failed('failed', true));
+  scene.endAttempt(failed('failed', true));
+  scene.endAttempt(failed('failed', true));
   assert.equal(scene.sent.length, 2);
   assert.deepEqual(scene.executions(), ['unknown']);
 });
 
-test('a request that may have run and is not repeatable is not sent again', () => {
+test('a request that may have run and is not idempotent is not retried', () => {
   const scene = new Scene({ idempotent: false });
-  scene.endTry(failed('failed', true));
+  scene.endAttempt(failed('failed', true));
   assert.equal(scene.sent.length, 1);
   assert.deepEqual(scene.executions(), ['unknown']);
 });
 
-test('refusals for load lead to one more node only, leaving targets to others', () => {
+test('a request is sent to one more node after a refusal for load, to several when targets are leaving', () => {
   const loaded = new Scene({ idempotent: false });
-  for (let count = 0; count < 2; count += 1) loaded.endTry(failed('overloaded', false));
+  for (let count = 0; count < 2; count += 1) loaded.endAttempt(failed('overloaded', false));
   assert.equal(loaded.sent.length, 2);
   assert.deepEqual(loaded.executions(), ['not-run']);
   const leaving = new Scene({ idempotent: false });
   const end = createNotOffered('draining', ResultCode.NoTargetAvailable, 'leaving');
-  for (let count = 0; count < 5; count += 1) leaving.endTry(end);
+  for (let count = 0; count < 5; count += 1) leaving.endAttempt(end);
   assert.equal(leaving.sent.length, 6);
-  leaving.endTry(ANSWER);
+  leaving.endAttempt(ANSWER);
   assert.deepEqual(leaving.executions(), [200]);
 });
 
-test('a failure of its target sends a repeatable request to another', () => {
+test('an idempotent request that its target failed is retried at another', () => {
   const scene = new Scene();
-  scene.endTry(FAILED_ANSWER);
+  scene.endAttempt(FAILED_ANSWER);
   assert.equal(scene.sent.length, 2);
   assert.equal(scene.sent[1]!.repeated, true);
-  scene.endTry(ANSWER);
+  scene.endAttempt(ANSWER);
   assert.deepEqual(scene.executions(), [200]);
 });
 
-test('when the other try fails as well, the first answer stands', () => {
+test('when the retry fails as well, the first answer is returned', () => {
   for (const end of [FAILED_ANSWER, failed('failed', true), failed('overloaded', false)]) {
     const scene = new Scene();
-    scene.endTry(FAILED_ANSWER);
-    for (let count = 0; count < 5; count += 1) scene.endTry(end);
+    scene.endAttempt(FAILED_ANSWER);
+    for (let count = 0; count < 5; count += 1) scene.endAttempt(end);
     assert.deepEqual(scene.executions(), [500]);
   }
   const scene = new Scene();
-  scene.endTry(FAILED_ANSWER);
+  scene.endAttempt(FAILED_ANSWER);
   scene.clock.advance(1_000);
   assert.deepEqual(scene.executions(), [500], 'at the deadline');
 });
 
-test('a failure of a target is final for what may run once, under load and without time', () => {
+test('a failed answer is final if the request is not idempotent, under load and when time is short', () => {
   const once = new Scene({ idempotent: false });
-  once.endTry(FAILED_ANSWER);
+  once.endAttempt(FAILED_ANSWER);
   const loaded = new Scene();
   const load = { inFlight: 1, queued: 1, limit: 1, latencyMs: 1, threshold: 0.1 };
-  loaded.endTry({ ...FAILED_ANSWER, load });
+  loaded.endAttempt({ ...FAILED_ANSWER, load });
   const late = new Scene();
   late.clock.advance(600);
-  late.endTry(FAILED_ANSWER);
+  late.endAttempt(FAILED_ANSWER);
   const other = new Scene();
-  other.endTry({ ...FAILED_ANSWER, status: 504 });
+  other.endAttempt({ ...FAILED_ANSWER, status: 504 });
   for (const scene of [once, loaded, late, other]) assert.equal(scene.sent.length, 1);
   assert.deepEqual(once.executions(), [500]);
 });
 
-test('a request under which targets ended is not sent to another, and is said to have maybe run', () => {
-  const scene = new Scene({ mayRepeat: false });
-  scene.endTry(failed('failed', true));
+test('a request during which targets crashed is not retried, and its execution is unknown', () => {
+  const scene = new Scene({ mayRetry: false });
+  scene.endAttempt(failed('failed', true));
   assert.equal(scene.sent.length, 1);
   assert.deepEqual(scene.executions(), ['unknown']);
 });
--- a/src/sidecar/entry/routed-request.ts
+++ b/src/sidecar/entry/routed-request.ts
@@ -1,6 +1,6 @@
 /**
- * One request from its route to its final result: admission, choice of a target, repeats within
- * the bounds, the end at the deadline. What is known of execution is kept over all tries.
+ * Routes one request to its final result: admission, choice of a target, retries within the bounds
+ * and the deadline. Whether the request may have run is tracked over all attempts.
  */
 import { createFailure, type Failure } from '../../core/failure.js';
 import type { AttemptOutcome, LoadReport, RequestContext } from '../../core/request.js';
@@ -19,54 +19,53 @@
 /** The final result of a request. */
 export type RequestEnd = AttemptAnswer | { readonly type: 'refusal'; readonly failure: Failure };
 
-/** What a request is routed with. */
 export interface RoutedRequestOptions {
   readonly context: RequestContext;
-  /** The request as it goes to a target; the time left is set at each try. */
+  /** The request as it is sent to a target; the time left is set for each attempt. */
   readonly call: AttemptCall;
   readonly maxAttempts: number;
   readonly service: CalledService;
   readonly clock: Clock;
-  /** This node's part of the repeats that all nodes have together. */
-  readonly repeatSlack: number;
+  /** This node's part of the retries that all nodes together may send beyond the retry ratio. */
+  readonly retrySlack: number;
   portOf(node: string): AttemptPort | undefined;
-  /** The only node that the request may go to; absent: the router chooses. */
+  /** The only node that the request may be sent to; absent: the router chooses. */
   readonly onlyNode?: string;
-  /** Whether the request may go to another target after one has failed it or ended under it. */
-  mayRepeat(): boolean;
+  /** Whether the request may be sent to another target after one failed it or crashed while running it. */
+  mayRetry(): boolean;
   /** Called exactly once, unless the request is cancelled first. */
   onEnd(end: RequestEnd): void;
 }
 
-/** Tries at other nodes that refuse without offering the request to their target. */
-const MAX_TRIES = 6;
-/** The same when nodes refuse for load: each further try would cost all of them processor time. */
-const MAX_TRIES_UNDER_LOAD = 2;
-/** The other side ends this much earlier, so that its result still arrives, in milliseconds. */
+/** Most nodes that a request is sent to while they refuse it without offering it to their target. */
+const MAX_TRIED_NODES = 6;
+/** The same when nodes refuse for load: each further attempt would cost all of them processor time. */
+const MAX_TRIED_NODES_UNDER_LOAD = 2;
+/** The other node gets this much less time, so that its result still arrives, in milliseconds. */
 const LINK_MARGIN_MS = 8;
 const LINK_MARGIN_SHARE = 0.1;
-const DEFAULT_RETRY_MS = 200;
-/** A target's own failure; others (a deadline, a planned stop) would be the same elsewhere. */
+const DEFAULT_RETRY_AFTER_MS = 200;
+/** Status of a target's own failure; other failures (a deadline, a planned stop) would recur elsewhere. */
 const INTERNAL_SERVER_ERROR = 500;
 
-/** The try that is under way. */
-interface CurrentTry {
+/** The attempt in progress. */
+interface CurrentAttempt {
   readonly node: string;
-  /** Local monotonic time at which it was sent. */
+  /** Local monotonic time at which it was sent, in milliseconds. */
   readonly startedAt: number;
   cancel: CancelTry;
 }
 
-/** See the module comment. */
+/** One request, from its admission to its final result. */
 export class RoutedRequest {
   private ended = false;
-  private current: CurrentTry | undefined;
+  private current: CurrentAttempt | undefined;
   private cancelDeadline: CancelTimer = () => {};
   private readonly tried: string[] = [];
   /** Targets that the request was offered to. */
   private offers = 0;
   private mayHaveRun = false;
-  /** What a target answered before the request was sent to another; it stands if that fails too. */
+  /** Failed answer after which the request was sent to another target; returned if that fails too. */
   private failedAnswer: AttemptAnswer | undefined;
   /** Boot time at which the request was authorized; undefined: it needs no authorization. */
   private readonly authorizedAt: number | undefined;
@@ -84,7 +83,7 @@
   start(): void {
     const { service, clock, context } = this.options;
     const now = clock.now();
-    service.repeats.noteRequest(now, this.options.call.repeated);
+    service.retryBudget.noteRequest(now, this.options.call.repeated);
     const refusal = service.router.admit(now, context);
     if (refusal !== undefined) {
       const { code, detail, retryAfterMs } = refusal;
@@ -94,24 +93,24 @@
     this.cancelDeadline = clock.schedule(context.deadline - now, () => {
       this.onDeadline();
     });
-    this.tryOnce();
+    this.sendAttempt();
   }
 
-  /** The caller went away. */
+  /** Cancels the request, since its caller has disconnected. */
   cancel(): void {
     if (this.ended) return;
     this.finish();
-    this.breakOff('cancelled');
+    this.abortAttempt('cancelled');
   }
 
-  /** Ends with this failure now; what may have run is said so. */
+  /** Ends the request now with this failure, which is marked if the request may have run. */
   giveUp(failure: Failure): void {
     if (this.ended) return;
-    this.breakOff('cancelled');
+    this.abortAttempt('cancelled');
     this.refuse(failure);
   }
 
-  private tryOnce(): void {
+  private sendAttempt(): void {
     const { service, clock, context, portOf } = this.options;
     const now = clock.now();
     const node = this.pickNode(now);
@@ -123,26 +122,26 @@
     const dueInMs = (context.dueAt ?? context.deadline) - now;
     const call = {
       ...this.options.call,
-      ...this.presentAuthorization(),
+      ...this.currentAuthorization(),
       repeated,
       timeLeftMs: timeLeftMs - margin,
       dueInMs,
     };
-    const current: CurrentTry = { node, startedAt: now, cancel: () => false };
+    const current: CurrentAttempt = { node, startedAt: now, cancel: () => false };
     this.current = current;
-    service.noteTryStart();
+    service.noteAttemptStart();
     const port = portOf(node);
     if (port === undefined) {
-      const detail = `${node} is not known any more`;
-      this.onTryEnd(createNotOffered('unreachable', ResultCode.NoTargetAvailable, detail));
+      const detail = `node ${node} is no longer known`;
+      this.onAttemptEnd(createNotOffered('unreachable', ResultCode.NoTargetAvailable, detail));
       return;
     }
     current.cancel = port.dispatch(call, (end) => {
-      if (this.current === current) this.onTryEnd(end);
+      if (this.current === current) this.onAttemptEnd(end);
     });
   }
 
-  /** The node to try next; when there is none the request is refused. */
+  /** Picks the next node; refuses the request when there is none. */
   private pickNode(now: number): string | undefined {
     const { service, context, onlyNode } = this.options;
     if (onlyNode !== undefined) return onlyNode;
@@ -153,14 +152,14 @@
     return undefined;
   }
 
-  private presentAuthorization(): Pick<AttemptCall, 'authorization'> {
+  private currentAuthorization(): Pick<AttemptCall, 'authorization'> {
     if (this.authorizedAt === undefined) return {};
     const { call, clock } = this.options;
     return ageAuthorization(call.authorization, clock.bootNow() - this.authorizedAt);
   }
 
-  /** Ends the try that is under way; routing must hear of the end of every try. */
-  private breakOff(outcome: AttemptOutcome): void {
+  /** Aborts the attempt in progress and reports its end, as the router requires for every attempt. */
+  private abortAttempt(outcome: AttemptOutcome): void {
     const { current } = this;
     if (current === undefined) return;
     this.current = undefined;
@@ -168,7 +167,7 @@
     this.report(current, this.mayHaveRun ? outcome : 'cancelled');
   }
 
-  private onTryEnd(end: AttemptEnd): void {
+  private onAttemptEnd(end: AttemptEnd): void {
     const { current } = this;
     if (current === undefined) return;
     this.current = undefined;
@@ -179,16 +178,16 @@
     }
     if (end.offered) this.offers += 1;
     if (end.execution !== 'not-run') this.mayHaveRun = true;
-    if (this.shouldRepeat(end)) this.tryOnce();
-    else this.refuse(createFailure(end.code, end.detail, toOptions(end)));
+    if (this.shouldRetry(end)) this.sendAttempt();
+    else this.refuse(createFailure(end.code, end.detail, toFailureOptions(end)));
   }
 
   private onAnswer(answer: AttemptAnswer, startedAt: number): void {
     this.offers += 1;
     this.mayHaveRun = true;
-    if (this.shouldRepeatFailed(answer, startedAt)) {
+    if (this.shouldRetryFailedAnswer(answer, startedAt)) {
       this.failedAnswer = answer;
-      this.tryOnce();
+      this.sendAttempt();
       return;
     }
     this.finish();
@@ -196,34 +195,34 @@
   }
 
   /**
-   * Whether a target's own failure is worth a try at another. Not while the target or what it calls refuses
-   * for load, since most runs fail for that then, and not when as much time as the first try took is no
-   * longer left.
+   * Whether a target's own failure is retried at another target. Not while the target or a service that it
+   * calls refuses for load, since most requests fail for that reason then, and not when less time is left
+   * than the failed attempt took.
    */
-  private shouldRepeatFailed({ status, load }: AttemptAnswer, startedAt: number): boolean {
+  private shouldRetryFailedAnswer({ status, load }: AttemptAnswer, startedAt: number): boolean {
     if (status !== INTERNAL_SERVER_ERROR || (load?.threshold ?? 0) > 0) return false;
     const { context, maxAttempts, clock } = this.options;
     const now = clock.now();
     if (!context.idempotent || this.offers >= maxAttempts) return false;
-    if (!this.options.mayRepeat()) return false;
+    if (!this.options.mayRetry()) return false;
     if (context.deadline - now < now - startedAt) return false;
-    return this.spendRepeat(now);
+    return this.spendRetry(now);
   }
 
-  private spendRepeat(now: number): boolean {
-    const { service, repeatSlack, call } = this.options;
-    return service.repeats.spend(now, repeatSlack, !call.committed);
+  private spendRetry(now: number): boolean {
+    const { service, retrySlack, call } = this.options;
+    return service.retryBudget.spend(now, retrySlack, !call.committed);
   }
 
   private report(
-    { node, startedAt }: CurrentTry,
+    { node, startedAt }: CurrentAttempt,
     outcome: AttemptOutcome,
     load?: LoadReport,
   ): void {
     const now = this.options.clock.now();
     const { service, onlyNode } = this.options;
-    service.noteTryEnd();
-    // The router did not choose it, and does not count it as under way.
+    service.noteAttemptEnd();
+    // The router did not pick the node, and does not count the attempt as in progress.
     if (onlyNode !== undefined) return;
     service.router.onOutcome(now, {
       target: node,
@@ -234,25 +233,25 @@
     });
   }
 
-  /** Takes from the repeat budget when it says yes to a repeat that a target will see. */
-  private shouldRepeat({ outcome }: AttemptFailure): boolean {
+  /** Whether to send the request to another node. Spends retry budget if a target was offered it before. */
+  private shouldRetry({ outcome }: AttemptFailure): boolean {
     const { context, maxAttempts, clock, onlyNode } = this.options;
     if (onlyNode !== undefined) return false;
     if (this.mayHaveRun && !context.idempotent) return false;
-    if (this.tried.length >= MAX_TRIES || this.offers >= maxAttempts) return false;
+    if (this.tried.length >= MAX_TRIED_NODES || this.offers >= maxAttempts) return false;
     if (outcome === 'timeout' || outcome === 'cancelled') return false;
-    if (outcome === 'overloaded' && this.tried.length >= MAX_TRIES_UNDER_LOAD) return false;
+    if (outcome === 'overloaded' && this.tried.length >= MAX_TRIED_NODES_UNDER_LOAD) return false;
     const now = clock.now();
     if (now >= context.deadline) return false;
     if (this.offers === 0) return true;
-    return this.options.mayRepeat() && this.spendRepeat(now);
+    return this.options.mayRetry() && this.spendRetry(now);
   }
 
   private onDeadline(): void {
     if (this.ended) return;
-    this.breakOff('timeout');
+    this.abortAttempt('timeout');
     const execution = this.mayHaveRun ? 'unknown' : 'not-run';
-    const detail = 'no answer within the time';
+    const detail = 'no answer before the deadline';
     this.refuse(createFailure(ResultCode.DeadlineExceeded, detail, { execution }));
   }
 
@@ -264,7 +263,7 @@
       return;
     }
     const execution: Execution = this.mayHaveRun ? 'unknown' : failure.execution;
-    const retryAfterMs = failure.retryAfterMs ?? DEFAULT_RETRY_MS;
+    const retryAfterMs = failure.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS;
     this.options.onEnd({ type: 'refusal', failure: { ...failure, execution, retryAfterMs } });
   }
 
@@ -274,7 +273,7 @@
   }
 }
 
-function toOptions({ execution, retryAfterMs }: AttemptFailure): {
+function toFailureOptions({ execution, retryAfterMs }: AttemptFailure): {
   execution: Execution;
   retryAfterMs?: number;
 } {
--- a/src/sidecar/entry/service-routers.ts
+++ b/src/sidecar/entry/service-routers.ts
@@ -1,22 +1,21 @@
-/** The calling side of each service: its router, its repeat budget and the ways to its targets. */
+/** Routers and retry budgets of the services that this node calls. */
 import type { OverloadPolicy, ServiceRouter } from '../../core/overload.js';
 import { createRandom } from '../../core/random.js';
 import type { Clock } from '../../kernel/clock.js';
 import type { NodeDirectory } from '../directory/node-directory.js';
 import { seedOf } from '../seed.js';
-import { RepeatBudget, type RepeatBudgetOptions } from './repeat-budget.js';
+import { WindowedRetryBudget, type WindowedRetryBudgetOptions } from './windowed-retry-budget.js';
 
-/** One service as this node calls it. */
+/** One service that this node calls. */
 export interface CalledService {
   readonly router: ServiceRouter;
-  readonly repeats: RepeatBudget;
-  /** A try of a request begins. */
-  noteTryStart(): void;
-  /** A try of a request has ended. */
-  noteTryEnd(): void;
+  readonly retryBudget: WindowedRetryBudget;
+  /** Records the start of an attempt. */
+  noteAttemptStart(): void;
+  /** Records the end of an attempt. */
+  noteAttemptEnd(): void;
 }
 
-/** What the routers work with. */
 export interface ServiceRoutersOptions {
   readonly directory: NodeDirectory;
   readonly policy: OverloadPolicy;
@@ -24,16 +23,16 @@
   readonly zone: string;
   readonly region: string;
   readonly seed: number;
-  readonly repeats: RepeatBudgetOptions;
+  readonly retryBudget: WindowedRetryBudgetOptions;
 }
 
-/** See the module comment. */
+/** Called services by name. */
 export class ServiceRouters {
   private readonly services = new Map<string, RoutedService>();
 
   constructor(private readonly options: ServiceRoutersOptions) {}
 
-  /** The calling side of a service; made when it is first called. */
+  /** Returns a service; its router and budget are created at the first call. */
   of(service: string): CalledService {
     let called = this.services.get(service);
     if (called === undefined) {
@@ -43,29 +42,32 @@
     return called;
   }
 
-  /** The targets of a service have changed; they are read again when it is next called. */
+  /** Marks the targets of a service as changed; they are read again when it is next called. */
   refresh(service: string): void {
     this.services.get(service)?.markStale();
   }
 }
 
 /**
- * Reads the targets at their next use only. While a fleet starts, the records and links of hundreds of
- * nodes change one by one, and each change would build anew what a router knows of all targets.
+ * Reads changed targets only when the router is next used. While a fleet starts, the records and links
+ * of hundreds of nodes change one by one, and each change would rebuild the router's state of all targets.
  */
 class RoutedService implements CalledService {
-  readonly repeats: RepeatBudget;
+  readonly retryBudget: WindowedRetryBudget;
   private readonly inner: ServiceRouter;
   private stale = true;
-  private tries = 0;
+  private attempts = 0;
 
   constructor(
     private readonly service: string,
     private readonly options: ServiceRoutersOptions,
     index: number,
   ) {
-    const { policy, zone, region, seed, repeats } = options;
-    this.repeats = new RepeatBudget(repeats, createRandom(seedOf(`${seed} repeats ${service}`)));
+    const { policy, zone, region, seed, retryBudget } = options;
+    this.retryBudget = new WindowedRetryBudget(
+      retryBudget,
+      createRandom(seedOf(`${seed} repeats ${service}`)),
+    );
     this.inner = policy.createServiceRouter({
       service,
       localZone: zone,
@@ -83,13 +85,13 @@
     return this.inner;
   }
 
-  noteTryStart(): void {
-    this.tries += 1;
-    if (this.options.directory.widen(this.service, this.tries)) this.stale = true;
+  noteAttemptStart(): void {
+    this.attempts += 1;
+    if (this.options.directory.widen(this.service, this.attempts)) this.stale = true;
   }
 
-  noteTryEnd(): void {
-    this.tries -= 1;
+  noteAttemptEnd(): void {
+    this.attempts -= 1;
   }
 
   markStale(): void {
--- a/src/sidecar/entry/repeat-budget.test.ts
+++ b/src/sidecar/entry/windowed-retry-budget.test.ts
@@ -2,40 +2,40 @@
 import { test } from 'node:test';
 import { createRandom } from '../../core/random.js';
 import { mix32 } from '../../core/hash.js';
-import { RepeatBudget } from './repeat-budget.js';
+import { WindowedRetryBudget } from './windowed-retry-budget.js';
 
 const OPTIONS = { ratio: 0.1, windowMs: 1_000, slack: 2 };
 
-function spendAll(budget: RepeatBudget, now: number): number {
+function spendAll(budget: WindowedRetryBudget, now: number): number {
   let spent = 0;
   while (budget.spend(now)) spent += 1;
   return spent;
 }
 
-test('repeats are a share of the requests of the window, and the slack', () => {
-  const budget = new RepeatBudget(OPTIONS);
+test('allows a share of the requests in the window, plus the slack', () => {
+  const budget = new WindowedRetryBudget(OPTIONS);
   for (let count = 0; count < 30; count += 1) budget.noteRequest(5);
   assert.equal(spendAll(budget, 10), 5);
   assert.equal(spendAll(budget, 900), 0);
 });
 
-test('what has left the window counts no more', () => {
-  const budget = new RepeatBudget(OPTIONS);
+test('requests and retries outside the window no longer count', () => {
+  const budget = new WindowedRetryBudget(OPTIONS);
   for (let count = 0; count < 30; count += 1) budget.noteRequest(50);
   assert.equal(spendAll(budget, 60), 5);
   assert.equal(spendAll(budget, 1_150), 2);
   assert.equal(spendAll(budget, 60_000), 2);
 });
 
-test('the slack is the one that the caller names', () => {
-  const budget = new RepeatBudget({ ...OPTIONS, ratio: 0 });
+test('a slack that is passed to spend overrides the default', () => {
+  const budget = new WindowedRetryBudget({ ...OPTIONS, ratio: 0 });
   assert.equal(budget.spend(0, 0.5), false);
   assert.equal(budget.spend(0, 1), true);
   assert.equal(budget.spend(0, 1), false);
 });
 
-test('in no window more repeats than allowed, whatever the times', () => {
-  const budget = new RepeatBudget({ ratio: 0.2, windowMs: 1_000, slack: 3 });
+test('no window holds more retries than allowed, whenever they are sent', () => {
+  const budget = new WindowedRetryBudget({ ratio: 0.2, windowMs: 1_000, slack: 3 });
   const spent: number[] = [];
   for (let now = 0; now < 5_000; now += 7) {
     if (now % 3 === 0) budget.noteRequest(now);
@@ -47,16 +47,16 @@
   }
 });
 
-test('calls of repeated runs count as repeats, and what they leave is free', () => {
-  const budget = new RepeatBudget(OPTIONS);
+test('calls of retried attempts count as retries, and only the rest is available', () => {
+  const budget = new WindowedRetryBudget(OPTIONS);
   for (let count = 0; count < 30; count += 1) budget.noteRequest(5, count < 4);
   assert.equal(spendAll(budget, 10), 1);
   for (let count = 0; count < 10; count += 1) budget.noteRequest(20, true);
   assert.equal(spendAll(budget, 30), 0);
 });
 
-test('a part of the share is kept for the later calls of a run', () => {
-  const budget = new RepeatBudget({ ...OPTIONS, slack: 0 });
+test('a part of the share is reserved for the later calls of a parent attempt', () => {
+  const budget = new WindowedRetryBudget({ ...OPTIONS, slack: 0 });
   for (let count = 0; count < 100; count += 1) budget.noteRequest(5);
   let first = 0;
   while (budget.spend(10, 0, true)) first += 1;
@@ -64,13 +64,14 @@
   assert.equal(spendAll(budget, 20), 4);
 });
 
-test('the parts of many nodes add up to the whole, however small each is', () => {
+test('the parts of many nodes add up to the total, however small each is', () => {
   const nodes = 195;
   const whole = 64;
   const windowMs = 10_000;
   const budgets = Array.from(
     { length: nodes },
-    (_, index) => new RepeatBudget({ ratio: 0.15, windowMs, slack: 0 }, createRandom(mix32(index))),
+    (_, index) =>
+      new WindowedRetryBudget({ ratio: 0.15, windowMs, slack: 0 }, createRandom(mix32(index))),
   );
   const perSecond: number[] = [];
   for (let now = 0; now < 120_000; now += 100) {
--- /dev/null
+++ b/src/sidecar/entry/windowed-retry-budget.ts
@@ -0,0 +1,96 @@
+/**
+ * Limits the retries that this node sends to one service: to a share of its requests for the service
+ * over a sliding window, plus its part of the slack that all nodes share. Since every node stays
+ * within its part, all nodes together stay within the total without exchanging messages.
+ *
+ * Calls made by a retried attempt count as retries too and are recorded when they arrive. Retries of
+ * the calls themselves may use what is left.
+ *
+ * In a large fleet a node's part is less than one retry, so that no node could retry at all if parts were
+ * rounded down. Parts are rounded up at random, once a window, so that their sum keeps its mean.
+ */
+import type { Random } from '../../core/random.js';
+
+/** Parameters of {@link WindowedRetryBudget}. */
+export interface WindowedRetryBudgetOptions {
+  /** Retries as a share of requests; 0 to 1. */
+  readonly ratio: number;
+  readonly windowMs: number;
+  /** Retries in a window beyond the share, for this node alone. */
+  readonly slack: number;
+}
+
+const BUCKETS = 10;
+/**
+ * Part of the share that is available until the parent attempt has had a call served. The rest is reserved
+ * for later calls, whose failure wastes the most work. This matters while targets refuse or lose more calls
+ * than the budget covers.
+ */
+const FIRST_CALLS_SHARE = 0.6;
+
+/** Counts in buckets of a tenth of the window; a bucket expires as a whole. */
+export class WindowedRetryBudget {
+  private readonly requests = new Float64Array(BUCKETS);
+  private readonly retries = new Float64Array(BUCKETS);
+  private current = 0;
+  private period = -1;
+  /** Random number that is added to the part in this period before it is rounded down, 0 to 1. */
+  private rounding = 0;
+
+  /** @param random source for the rounding; absent: parts are rounded down */
+  constructor(
+    private readonly options: WindowedRetryBudgetOptions,
+    private readonly random?: Random,
+  ) {}
+
+  /**
+   * Records a request for the service.
+   *
+   * @param isFromRetry whether a retried attempt makes the request
+   */
+  noteRequest(now: number, isFromRetry = false): void {
+    this.advance(now);
+    this.requests[this.current % BUCKETS]! += 1;
+    if (isFromRetry) this.retries[this.current % BUCKETS]! += 1;
+  }
+
+  /**
+   * Takes one retry; returns false when none is left.
+   *
+   * @param slack this node's part of the shared slack, which depends on the number of nodes
+   * @param isFirstCall whether no call of the parent attempt has been served yet
+   */
+  spend(now: number, slack = this.options.slack, isFirstCall = false): boolean {
+    this.advance(now);
+    const share = isFirstCall ? FIRST_CALLS_SHARE : 1;
+    const part = share * this.options.ratio * sum(this.requests) + slack;
+    const allowed = part + this.drawRounding(now);
+    if (sum(this.retries) + 1 > allowed) return false;
+    this.retries[this.current % BUCKETS]! += 1;
+    return true;
+  }
+
+  private drawRounding(now: number): number {
+    const period = Math.floor(now / this.options.windowMs);
+    if (period !== this.period) {
+      this.period = period;
+      this.rounding = this.random?.next() ?? 0;
+    }
+    return this.rounding;
+  }
+
+  private advance(now: number): void {
+    const bucket = Math.floor((now * BUCKETS) / this.options.windowMs);
+    const steps = Math.min(BUCKETS, bucket - this.current);
+    for (let step = 1; step <= steps; step += 1) {
+      const index = (bucket - steps + step) % BUCKETS;
+      this.requests[index] = 0;
+      this.retries[index] = 0;
+    }
+    if (steps > 0) this.current = bucket;
+  }
+}
+
+function sum(counts: Float64Array): number {
+  return counts.reduce((total, count) => total + count, 0);
+}
--- a/src/sidecar/plugins/entry-plugin.ts
+++ b/src/sidecar/plugins/entry-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in of the callers' interface. */
+/** Plug-in for the callers' interface. */
 import type { Container, ResolutionContext } from 'inversify';
 import { ByteBudget } from '../../core/byte-budget.js';
 import { findOverloadPolicy } from '../../core/overload-policy-registry.js';
@@ -8,21 +8,21 @@
 import { CallersDrain } from '../entry/callers-drain.js';
 import { EntryListener } from '../entry/entry-listener.js';
 import { EntryService } from '../entry/entry-service.js';
-import { PlannedStop, timeOfNewWork } from '../entry/planned-stop.js';
+import { PlannedStop, targetAcceptTimeMs } from '../entry/planned-stop.js';
 import { ServiceRouters } from '../entry/service-routers.js';
 import { seedOf } from '../seed.js';
 import { SidecarOrder, SidecarToken } from './tokens.js';
 
 const POLICY = 'adaptive';
 const BYTES_PER_MB = 1024 * 1024;
-/** Part of the memory that bodies of callers' requests may take. */
+/** Share of the memory limit that bodies of callers' requests may use. */
 const BODY_MEMORY_SHARE = 0.3;
-/** Part of the allowed ratio of repeats that is used; the rest covers windows that lie otherwise. */
-const RATIO_SHARE = 0.75;
-/** The same for the allowance beyond the ratio; repeats add up over the levels of a call chain. */
-const SLACK_SHARE = 0.3;
+/** Share of the allowed retry ratio that is used; the rest covers windows with other boundaries. */
+const RETRY_RATIO_SHARE = 0.75;
+/** Share of the allowed retry slack that is used: retries add up over the levels of a call chain. */
+const RETRY_SLACK_SHARE = 0.3;
 
-/** Kept free at the end of the grace period for the stop itself. */
+/** Time reserved at the end of the grace period for the stop itself. */
 const STOP_MARGIN_MS = 800;
 
 registerPlugin(
@@ -52,7 +52,7 @@
 function createRouters({ get }: ResolutionContext): ServiceRouters {
   const { node, bounds } = get(SidecarToken.Settings);
   const policy = findOverloadPolicy(POLICY);
-  if (policy === undefined) throw new Error(`no policy ${POLICY}`);
+  if (policy === undefined) throw new Error(`overload policy ${POLICY} is not registered`);
   return new ServiceRouters({
     directory: get(SidecarToken.Directory),
     policy,
@@ -60,8 +60,8 @@
     zone: node.zone,
     region: node.region,
     seed: seedOf(`${node.id} routers`),
-    repeats: {
-      ratio: bounds.retryRatio * RATIO_SHARE,
+    retryBudget: {
+      ratio: bounds.retryRatio * RETRY_RATIO_SHARE,
       windowMs: bounds.retryWindow,
       slack: 0,
     },
@@ -89,7 +89,7 @@
     buffers: get(SidecarToken.Buffers),
     clock: get(Token.Clock),
     log: get(Token.EventLog),
-    repeatSlack: () => settings.current.bounds.retrySlack * SLACK_SHARE,
+    retrySlack: () => settings.current.bounds.retrySlack * RETRY_SLACK_SHARE,
     onRequestEnd: (kind, code, seconds) => {
       metrics.requests.inc({ kind, code });
       metrics.latency.observe({ kind }, seconds);
@@ -101,11 +101,11 @@
   return new EntryListener(service, get(Token.Clock));
 }
 
-/** Planned stop: see {@link CallersDrain}. */
+/** Planned stop: ends new work for the target after a while and runs a {@link CallersDrain}. */
 async function drain(container: Container, endAt: number): Promise<void> {
   const gateway = container.get(SidecarToken.Gateway);
   const clock = container.get(Token.Clock);
-  clock.schedule(timeOfNewWork(endAt - clock.now()), () => {
+  clock.schedule(targetAcceptTimeMs(endAt - clock.now()), () => {
     gateway.stop();
     container.get(SidecarToken.LinkServer).announceStatus();
   });
