--- a/src/sidecar/plugins/directory-plugin.ts
+++ b/src/sidecar/plugins/directory-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in of the directory of nodes. */
+/** Plug-in for the directory of nodes. */
 import { createRandom } from '../../core/random.js';
 import { registerPlugin } from '../../kernel/plugin.js';
 import { Token } from '../../kernel/token.js';
@@ -9,7 +9,7 @@
 import { seedOf } from '../seed.js';
 import { SidecarOrder, SidecarToken } from './tokens.js';
 
-/** Wait of one call for changes in a small fleet, in milliseconds. */
+/** Wait of one watch call in a small fleet, in milliseconds. */
 const MIN_WAIT_MS = 10_000;
 
 registerPlugin(
@@ -64,7 +64,7 @@
           log: get(Token.EventLog),
           random: createRandom(seedOf(`${get(SidecarToken.Settings).node.id} nodes`)),
           waitMs: () => waitForChangesMs(directory.size, MIN_WAIT_MS),
-          // Changes often come together, and links tell what is urgent; one call then takes many.
+          // Changes often come together: after a pause one call returns many. Urgent ones are sent over links.
           pauseAfterEventsMs: () => gatherRecordsMs(directory.size),
           onListing: (items) => {
             directory.replaceAll(items);
--- a/src/sidecar/plugins/link-plugin.ts
+++ b/src/sidecar/plugins/link-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in of the links: the accepting end, and what this node says of itself on them. */
+/** Plug-in for the links: their server, and the status of this node that is sent over them. */
 import { registerPlugin } from '../../kernel/plugin.js';
 import { Token } from '../../kernel/token.js';
 import { LinkServer } from '../link/link-server.js';
--- a/src/sidecar/plugins/observability-plugin.ts
+++ b/src/sidecar/plugins/observability-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in of the metrics. */
+/** Plug-in for the metrics. */
 import { registerPlugin } from '../../kernel/plugin.js';
 import { splitAddress } from '../../core/host-and-port.js';
 import { createMetricsServer } from '../metrics-server.js';
--- a/src/sidecar/plugins/plugins.ts
+++ b/src/sidecar/plugins/plugins.ts
@@ -1,4 +1,4 @@
-/** The parts of a sidecar: importing a plug-in's module registers it. */
+/** All plug-ins of the sidecar. Importing a plug-in's module registers it. */
 import './observability-plugin.js';
 import './store-plugin.js';
 import './quarantine-plugin.js';
--- a/src/sidecar/plugins/quarantine-plugin.ts
+++ b/src/sidecar/plugins/quarantine-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in of the quarantine: requests under which targets ended. */
+/** Plug-in for the quarantine of requests during which targets crashed. */
 import { registerPlugin } from '../../kernel/plugin.js';
 import { Token } from '../../kernel/token.js';
 import { RequestQuarantine } from '../quarantine/request-quarantine.js';
--- a/src/sidecar/plugins/quota-plugin.ts
+++ b/src/sidecar/plugins/quota-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in of tenants' limits: counting them for other nodes, and asking for this one's requests. */
+/** Plug-in for tenants' limits: counts requests for all nodes, and gets grants for this node's requests. */
 import type { ResolutionContext } from 'inversify';
 import { registerPlugin } from '../../kernel/plugin.js';
 import { Token } from '../../kernel/token.js';
@@ -23,7 +23,7 @@
       container.get(SidecarToken.EarlyCounting).start();
       return Promise.resolve();
     },
-    // While others can still be asked: the next node that is asked takes over at once.
+    // Ends while other nodes can still be reached: the next node that is queried takes over at once.
     drain: (container) => {
       container.get(SidecarToken.EarlyCounting).stop();
       return container.get(SidecarToken.QuotaCounting).close();
--- a/src/sidecar/plugins/readiness-plugin.ts
+++ b/src/sidecar/plugins/readiness-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in of the readiness question. */
+/** Plug-in for the readiness endpoint. */
 import { registerPlugin } from '../../kernel/plugin.js';
 import { Token } from '../../kernel/token.js';
 import { splitAddress } from '../../core/host-and-port.js';
--- a/src/sidecar/plugins/rules-plugin.ts
+++ b/src/sidecar/plugins/rules-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in of the routing rules. */
+/** Plug-in for the routing rules. */
 import type { ResolutionContext } from 'inversify';
 import { createRandom } from '../../core/random.js';
 import { registerPlugin } from '../../kernel/plugin.js';
@@ -13,9 +13,9 @@
 import { RequestAuthorizer } from '../tenants/request-authorizer.js';
 import { SidecarOrder, SidecarToken } from './tokens.js';
 
-/** Wait of one call for changes in a small fleet, in milliseconds. */
+/** Wait of one watch call in a small fleet, in milliseconds. */
 const MIN_WAIT_MS = 5_000;
-/** Part of the time for revocations that is left for what happens between a check and its use. */
+/** Part of the key revocation time that is reserved for the delay between a check and its use. */
 const REVOCATION_MARGIN_MS = 300;
 
 registerPlugin(
@@ -77,7 +77,7 @@
             for (const event of events) if (event.type === 'put') offer(event.key, event.value);
           },
           onCurrent: (askedAt) => {
-            // An older version in the store is that of an older copy, which may lack still newer ones.
+            // An older version in the store comes from an older copy, which may also lack versions newer than ours.
             if (storeVersion === rules.version) freshness.confirm(storeVersion, askedAt);
           },
         });
--- a/src/sidecar/plugins/store-plugin.ts
+++ b/src/sidecar/plugins/store-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in of the store's client. */
+/** Plug-in for the store's client. */
 import { createRandom } from '../../core/random.js';
 import { registerPlugin } from '../../kernel/plugin.js';
 import { Token } from '../../kernel/token.js';
@@ -8,7 +8,7 @@
 import { seedOf } from '../seed.js';
 import { SidecarOrder, SidecarToken } from './tokens.js';
 
-/** Wait for an answer of the store, in milliseconds. */
+/** Timeout of a call to the store. */
 const STORE_TIMEOUT_MS = 1_000;
 
 registerPlugin(
--- a/src/sidecar/plugins/target-plugin.ts
+++ b/src/sidecar/plugins/target-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in of the target beside this node: its registration and the gateway to it. */
+/** Plug-in for the local target: its registration and the gateway to it. */
 import type { ResolutionContext } from 'inversify';
 import '../../core/policies/adaptive.js';
 import { createRandom } from '../../core/random.js';
@@ -67,7 +67,7 @@
 function createGateway({ get }: ResolutionContext): TargetGateway {
   const { target, node } = get(SidecarToken.Settings);
   const policy = findOverloadPolicy(POLICY);
-  if (policy === undefined) throw new Error(`no policy ${POLICY}`);
+  if (policy === undefined) throw new Error(`overload policy ${POLICY} is not registered`);
   return new TargetGateway({
     service: target.service,
     address: target.address,
--- a/src/sidecar/plugins/tokens.ts
+++ b/src/sidecar/plugins/tokens.ts
@@ -31,10 +31,10 @@
 import type { SidecarSettings } from '../settings.js';
 import type { TargetGateway } from '../target/target-gateway.js';
 
-/** Says what this node is now; see {@link NodeStatus}. */
+/** Returns the current status of this node. */
 export type StatusSource = () => NodeStatus;
 
-/** One token a service. */
+/** One token per service. */
 export const SidecarToken = {
   Settings: createToken<SidecarSettings>('sidecar.Settings'),
   CurrentSettings: createToken<CurrentSettings>('sidecar.CurrentSettings'),
