--- a/src/http/accept-burst.test.ts
+++ b/src/http/accept-burst.test.ts
@@ -59,7 +59,7 @@
   assert.deepEqual(done, ['a']);
 });
 
-test('afterWaiting runs its task once a turn accepts no connection', () => {
+test('a task that follows the waiting connections runs once a turn accepts none', () => {
   const { burst, done, endTurn } = createHarness();
   burst.afterWaiting(() => done.push('closed'));
   endTurn();
