--- a/src/core/attempt-ledger.test.ts
+++ b/src/core/attempt-ledger.test.ts
@@ -66,8 +66,8 @@
   simulation.ledger.open(id, granted);
   const callees = simulation.callsOf(service);
   for (const callee of callees) {
-    const callCount = 1 + (simulation.decide() % 4);
-    for (let index = 0; index < callCount; index += 1) callBelow(simulation, id, callees, callee);
+    const calls = 1 + (simulation.decide() % 4);
+    for (let index = 0; index < calls; index += 1) callBelow(simulation, id, callees, callee);
   }
   return simulation.ledger.close(id);
 }
--- a/src/store/store-backoff.test.ts
+++ b/src/store/store-backoff.test.ts
@@ -48,24 +48,24 @@
   const clock = new ManualClock();
   const backoff = new StoreBackoff(clock, NO_JITTER);
   backoff.noteAnswered();
-  let callCount = 0;
+  let callsMade = 0;
   let up = false;
   const callers = [1, 2].map(() =>
     callUntilAnswered(
       backoff,
       () => up,
-      () => (callCount += 1),
+      () => (callsMade += 1),
     ),
   );
   await advance(clock, OUTAGE_MS);
   // Two first calls, pauses of 50 to 800 ms, then one call a second. Separate back-offs up to 500 ms: 40 calls.
-  assert.ok(callCount <= 16, `${callCount} calls`);
-  assert.ok(callCount >= 12, `${callCount} calls`);
+  assert.ok(callsMade <= 16, `${callsMade} calls`);
+  assert.ok(callsMade >= 12, `${callsMade} calls`);
   up = true;
-  const before = callCount;
+  const before = callsMade;
   await advance(clock, 1_010);
   await Promise.all(callers);
-  assert.equal(callCount - before, 2, 'the next caller in turn, and the other one at once');
+  assert.equal(callsMade - before, 2, 'the next caller in turn, and the other one at once');
 });
 
 test('the pause stays short before the first answer, since nothing can be served', async () => {
