--- a/src/claims/charge-requester.ts
+++ b/src/claims/charge-requester.ts
@@ -1,37 +1,37 @@
-/** Charges attempts of a request id at the group, so that all entry nodes share one bound. */
+/** Charges attempts of a request id to its replica group; all entry nodes share one bound. */
 import { Result } from 'true-myth';
 import type { BudgetCharge } from '../core/claim/attempt-budgets.js';
 import { ChargeRound, type ChargeOutcome } from '../core/claim/charge-coordinator.js';
 import { createFailure, type Failure } from '../core/failure.js';
 import { ResultCode } from '../core/result-code.js';
 import type { AttemptCharge, ChargeGrant } from './claim-service.js';
-import { settleRound, type RequesterOptions } from './requester.js';
+import { settleRound, type RequesterOptions } from './request-round.js';
 import { pause } from '../kernel/pause.js';
 
-/** Rounds of one charge in which concurrent charges split the slots. */
-const MAX_SPLITS = 4;
+/** Maximum rounds of one charge in which concurrent charges may split the slots. */
+const MAX_SPLIT_ROUNDS = 4;
 
 /** Largest bound that the replicas keep slots for. */
 const MAX_BOUND = 255;
 
-/** One round with the charge that it asked for. */
-interface EndedRound {
+/** The charge that one round requested, and the outcome of the round. */
+interface RoundResult {
   readonly budget: BudgetCharge;
   readonly outcome: ChargeOutcome;
 }
 
-/** Time after which charges that got in each other's way have been given back. */
-const CONTENDED_RETRY_MS = 200;
-/** Replicas that change their epoch vote again within this time, in milliseconds. */
-const NO_MAJORITY_RETRY_MS = 1_000;
+/** Time by which the slots of charges that contended for them have been released. */
+const CONTENTION_RETRY_AFTER_MS = 200;
+/** Time within which replicas that change their epoch vote again, in milliseconds. */
+const NO_MAJORITY_RETRY_AFTER_MS = 1_000;
 
 /**
- * Coordinator of charges. Without a majority it grants nothing: an attempt granted by each entry
- * node alone took requests above their bound (3 attempts where 2 are allowed, when three nodes on
- * a busy machine heard no majority in time).
+ * Coordinates charges. Grants nothing without a majority: when each entry node granted an attempt
+ * on its own, requests exceeded their bound (3 attempts where 2 are allowed, when three nodes on a
+ * busy machine received no majority in time).
  */
 export class ChargeRequester {
-  private charges = 0;
+  private chargeCount = 0;
 
   /** @param name unique per process start; makes charge ids unique */
   constructor(
@@ -44,28 +44,28 @@
     const key = `${charge.tenant}/${charge.requestId}`;
     let splits = 0;
     let majorityAnswers = false;
-    while (this.options.clock.now() < charge.deadline && splits < MAX_SPLITS) {
+    while (this.options.clock.now() < charge.deadline && splits < MAX_SPLIT_ROUNDS) {
       const ended = await this.runRound(key, charge);
       if (ended === undefined) break;
       const { budget, outcome } = ended;
       if (outcome.slots.length > 0) return Result.ok(this.createGrant(budget, outcome.slots));
       if (outcome.heardMajority) {
-        if (!outcome.split) return exhausted('all attempts of this request id are spent');
+        if (!outcome.split) return refuseExhausted('all attempts of this request id are used');
         splits += 1;
         majorityAnswers = true;
       }
-      // Without a majority the replicas may just be changing their epoch, which takes less time
-      // than a charge may wait.
+      // Replicas that give no majority may be changing their epoch, which takes less time than a
+      // charge may wait.
       await pause(
         this.options.clock,
         1 + this.options.random.next() * this.options.timing.retryJitterMs,
       );
     }
-    return majorityAnswers ? contended() : withoutMajority();
+    return majorityAnswers ? refuseContended() : refuseWithoutMajority();
   }
 
-  /** One round under a charge id of its own; gives back what does not count. */
-  private async runRound(key: string, charge: AttemptCharge): Promise<EndedRound | undefined> {
+  /** Runs one round under its own charge id; releases the slots that the charge does not use. */
+  private async runRound(key: string, charge: AttemptCharge): Promise<RoundResult | undefined> {
     const group = this.options.groupOf(key);
     const record = group?.placement;
     if (group === undefined || record === undefined) return undefined;
@@ -77,7 +77,7 @@
       return round.complete;
     });
     const outcome = round.outcome();
-    this.giveBackUnused(budget, outcome.slots);
+    this.releaseUnused(budget, outcome.slots);
     return { budget, outcome };
   }
 
@@ -92,16 +92,16 @@
   }
 
   private createBudgetCharge(key: string, wanted: number, bound: number): BudgetCharge {
-    this.charges += 1;
+    this.chargeCount += 1;
     return {
       key,
-      chargeId: `${this.name}.${this.charges}`,
+      chargeId: `${this.name}.${this.chargeCount}`,
       wanted,
       bound: Math.min(bound, MAX_BOUND),
     };
   }
 
-  private giveBackUnused(charge: BudgetCharge, used: readonly number[]): void {
+  private releaseUnused(charge: BudgetCharge, used: readonly number[]): void {
     if (used.length >= charge.wanted) return;
     const all = Array.from({ length: charge.bound }, (_, slot) => slot);
     const unused = all.filter((slot) => !used.includes(slot));
@@ -110,20 +110,20 @@
   }
 }
 
-/** A majority answers and grants nothing: a grant of this node alone would pass the bound. */
-function contended(): Result<ChargeGrant, Failure> {
-  const detail = 'charges of the same request id are in progress';
-  const options = { retryAfterMs: CONTENDED_RETRY_MS };
+/** A majority replied but granted nothing; a grant by this node alone would exceed the bound. */
+function refuseContended(): Result<ChargeGrant, Failure> {
+  const detail = 'other charges of the same request id are in progress';
+  const options = { retryAfterMs: CONTENTION_RETRY_AFTER_MS };
   return Result.err(createFailure(ResultCode.ClaimUnavailable, detail, options));
 }
 
-/** What an earlier try has spent is not known, so this one gets nothing. */
-function withoutMajority(): Result<ChargeGrant, Failure> {
-  const detail = 'no majority of replicas to charge attempts at';
-  const options = { retryAfterMs: NO_MAJORITY_RETRY_MS };
+/** How many attempts earlier charges have used is not known, so this one is granted none. */
+function refuseWithoutMajority(): Result<ChargeGrant, Failure> {
+  const detail = 'no majority of replicas available to charge attempts';
+  const options = { retryAfterMs: NO_MAJORITY_RETRY_AFTER_MS };
   return Result.err(createFailure(ResultCode.ClaimUnavailable, detail, options));
 }
 
-function exhausted(detail: string): Result<ChargeGrant, Failure> {
+function refuseExhausted(detail: string): Result<ChargeGrant, Failure> {
   return Result.err(createFailure(ResultCode.AttemptsExhausted, detail));
 }
--- a/src/claims/claim-groups.test.ts
+++ b/src/claims/claim-groups.test.ts
@@ -1,11 +1,11 @@
-/** Several replica groups: one layout, members by zone, constant cost, changes of each by itself. */
+/** Several replica groups: one layout, members by zone, constant cost, independent changes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ClaimFleet, READY_AFTER_MS } from '../../test/support/claim-fleet.js';
 
 const GROUPS = 8;
 
-/** Nodes n00, n01, ... in three zones in turn. */
+/** Starts nodes n00, n01, ... in three zones in turn. */
 async function startNodes(nodes: number, groupsOf: (index: number) => number): Promise<ClaimFleet> {
   const fleet = new ClaimFleet();
   for (let index = 0; index < nodes; index += 1) {
@@ -22,7 +22,7 @@
   return members.map(({ nodeId }) => nodeId).sort();
 }
 
-test('nodes with different wishes agree on one layout, and all know every group', async () => {
+test('nodes that want different numbers of groups agree on one layout, and all know every group', async () => {
   const fleet = await startNodes(9, (index) => 4 + index);
   const counts = new Set([...fleet.nodes.values()].map(({ groupCount }) => groupCount));
   assert.equal(counts.size, 1);
@@ -67,7 +67,7 @@
   );
 });
 
-test('a planned stop hands over every group of the node', async () => {
+test('a planned stop transfers every group of the node', async () => {
   const fleet = await startNodes(6, () => GROUPS);
   const keys = Array.from({ length: 30 }, (_, serial) => fleet.createKey(0, serial));
   for (const key of keys) await fleet.claim('n01', key, `first-${key}`);
@@ -99,12 +99,12 @@
   }
 });
 
-test('a group that has lost its memory is started anew; the other groups go on', async () => {
+test('a group that has lost its memory is restarted; the other groups are not affected', async () => {
   const fleet = await startNodes(12, () => 4);
   const lost = membersOf(fleet, 0);
-  const lostTwice = (group: number): boolean =>
+  const hasLostMajority = (group: number): boolean =>
     membersOf(fleet, group).filter((nodeId) => lost.includes(nodeId)).length > 1;
-  const untouched = [1, 2, 3].filter((group) => !lostTwice(group));
+  const untouched = [1, 2, 3].filter((group) => !hasLostMajority(group));
   assert.ok(untouched.length > 0);
   const observer = fleet.nodes.get([...fleet.nodes.keys()].find((id) => !lost.includes(id))!)!;
   const epochs = untouched.map((group) => observer.placementOf(group)!.epoch);
@@ -117,11 +117,11 @@
   });
 });
 
-test('a node in no group asks one node a second, however large the fleet is', async () => {
+test('a node in no group queries one node a second, however large the fleet is', async () => {
   for (const nodes of [20, 40]) {
     const fleet = await startNodes(nodes, () => 4);
     const members = new Set([0, 1, 2, 3].flatMap((group) => membersOf(fleet, group)));
-    // The first node looks for lost groups; the others outside all groups only ask.
+    // The first node checks for lost groups; other nodes outside all groups only query.
     const outside = [...fleet.nodes.keys()].slice(1).filter((nodeId) => !members.has(nodeId));
     fleet.calls.clear();
     await fleet.pass(5_000);
--- a/src/claims/claim-messages.test.ts
+++ b/src/claims/claim-messages.test.ts
@@ -36,7 +36,7 @@
   }
 });
 
-test('malformed requests are refused by number', () => {
+test('malformed requests are refused with FrameMalformed', () => {
   const cases: readonly unknown[] = [
     undefined,
     {},
--- a/src/claims/claim-messages.ts
+++ b/src/claims/claim-messages.ts
@@ -13,41 +13,41 @@
 /** Request and reply type of each claim call. */
 export interface ClaimCalls {
   /** One request to the claim replica of a node. */
-  claimReplica: { request: ReplicaCall; reply: ReplicaAnswer };
+  claimReplica: { request: ReplicaCall; reply: ReplicaCallReply };
   /** Fetches a page of a table that did not fit into a reply. */
   claimPage: { request: PageRequest; reply: PageReply };
-  /** Brings a page of a table ahead of the request that needs it. */
+  /** Sends a page of a table before the request that needs it. */
   claimStage: { request: StageRequest; reply: Record<string, never> };
-  /** Asks for the number of groups and for newer placement records. */
+  /** Requests the number of groups and newer placement records. */
   claimRecords: { request: RecordsRequest; reply: RecordsReply };
 }
 
-/** A request with the pages of its table that were brought ahead, if any. */
+/** A request; `staged` identifies the pages of its table that were sent before it, if any. */
 export interface ReplicaCall {
   readonly group: number;
   readonly request: ReplicaRequest;
   readonly staged?: TransferRef;
 }
 
-/** A reply, and where the other pages of its table are when it holds only the first one. */
-export interface ReplicaAnswer {
+/** A reply; `rest` identifies the table when the reply holds only its first page. */
+export interface ReplicaCallReply {
   readonly reply: ReplicaReply;
   readonly rest?: TransferRef;
 }
 
-/** Names one page of a table under way. */
+/** Identifies one page of a table in transfer. */
 export interface PageRequest {
   readonly group: number;
   readonly transferId: string;
   readonly page: number;
 }
 
-/** A page; without a table it is not kept any more. */
+/** A page; `table` is absent when the page is no longer kept. */
 export interface PageReply {
   readonly table?: TableSnapshot;
 }
 
-/** What the asker knows. */
+/** The number of groups and the epochs that the requesting node knows. */
 export interface RecordsRequest {
   /** Number of groups; 0 when unknown. */
   readonly groups: number;
@@ -55,14 +55,14 @@
   readonly epochs: readonly number[];
 }
 
-/** What the asker did not know. */
+/** The number of groups, and the records that are newer than those of the requesting node. */
 export interface RecordsReply {
   /** Number of groups; 0 when unknown. */
   readonly groups: number;
   readonly records: readonly { readonly group: number; readonly record: PlacementRecord }[];
 }
 
-/** One page of a table under way. */
+/** One page of a table in transfer. */
 export interface StageRequest extends PageRequest {
   readonly table: TableSnapshot;
 }
@@ -172,7 +172,7 @@
   return validateValue(body, stageSchema, ResultCode.FrameMalformed);
 }
 
-/** Checks a received question for records. */
+/** Checks a received request for records. */
 export function validateRecordsRequest(body: unknown): Result<RecordsRequest, Failure> {
   return validateValue(body, recordsSchema, ResultCode.FrameMalformed);
 }
--- a/src/claims/claim-plugin.ts
+++ b/src/claims/claim-plugin.ts
@@ -1,11 +1,11 @@
-/** Plug-in of the claims: binds `Token.ClaimService` and runs this node's claim replica. */
+/** Claims plug-in: binds `Token.ClaimService` and runs this node's claim replicas. */
 import type { Container } from 'inversify';
 import { registerPlugin, StartOrder } from '../kernel/plugin.js';
 import { Token } from '../kernel/token.js';
 import { ClaimTask, createIncarnation } from './claim-task.js';
 import { DEFAULT_PAGE_BYTES } from './table-pages.js';
 
-/** One task a container; nodes may share a process. */
+/** One task per container; nodes may share a process. */
 const tasks = new WeakMap<Container, ClaimTask>();
 
 function createTask(container: Container): ClaimTask {
--- a/src/claims/claim-release.test.ts
+++ b/src/claims/claim-release.test.ts
@@ -1,4 +1,4 @@
-/** Claims that end while a planned stop changes the epoch leave their keys free. */
+/** Claims that are released while a planned stop changes the epoch leave their keys free. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -7,7 +7,7 @@
   type ClaimFleet,
 } from '../../test/support/claim-fleet.js';
 
-/** Claims keys at two nodes, one or both at once, and releases what was granted. */
+/** Claims keys at one node or at both at once, and releases the granted claims. */
 async function claimThroughout(
   fleet: ClaimFleet,
   drained: string,
--- a/src/claims/claim-requester.ts
+++ b/src/claims/claim-requester.ts
@@ -1,4 +1,4 @@
-/** Claims keys for the call router: rounds of requests to the group, until decided or too late. */
+/** Claims keys for the call router in rounds of requests, until a decision or the deadline. */
 import { ClaimRound, type ClaimVerdict } from '../core/claim/claim-coordinator.js';
 import { checkKey, readIssueTime } from '../core/claim/claim-key.js';
 import { DISPATCH_WINDOW_MS } from '../core/claim/claim-limits.js';
@@ -10,16 +10,16 @@
 import type { ClaimDecision, ClaimRequest } from './claim-service.js';
 import { GrantedClaims } from './granted-claims.js';
 import type { GroupAccess } from './group-access.js';
-import { settleRound, type RequesterOptions } from './requester.js';
+import { settleRound, type RequesterOptions } from './request-round.js';
 import { pause } from '../kernel/pause.js';
 
-/** Time after which a caller may repeat a claim that could not be decided, in milliseconds. */
+/** Time after which a caller may retry a claim that could not be decided, in milliseconds. */
 const RETRY_AFTER_MS = 1_000;
 
-/** Coordinator of claims. */
+/** Coordinates claims. */
 export class ClaimRequester {
   private readonly granted: GrantedClaims;
-  private rounds = 0;
+  private roundCount = 0;
 
   constructor(private readonly options: RequesterOptions) {
     this.granted = new GrantedClaims(options.clock);
@@ -38,10 +38,10 @@
     return decision;
   }
 
-  /** Gives a key back whose attempt is certainly not run, now or later. */
+  /** Releases a key whose attempt has certainly not run and will not run later. */
   release(request: ClaimRequest): void {
     const subject = this.granted.take(request.attemptId);
-    if (subject !== undefined) void this.giveBack(subject);
+    if (subject !== undefined) void this.deliverRelease(subject);
   }
 
   /** Records the end of a dispatched attempt. */
@@ -58,11 +58,11 @@
     let sawEarlierAttempt = false;
     let noEarlierAttempt = false;
     do {
-      const subject = this.describe(request);
+      const subject = this.createSubject(request);
       const group = this.options.groupOf(subject.key);
       const record = group?.placement;
       if (group === undefined || record === undefined)
-        return refuseUnavailable('no placement of replicas is known');
+        return refuseUnavailable('the placement of the replicas is not known yet');
       const round = new ClaimRound(record);
       const verdict = await this.runRound(group.client, round, subject, deadline);
       if (verdict.type === 'granted') {
@@ -70,7 +70,7 @@
         return { type: 'granted', notAfter };
       }
       round.giveUp();
-      const released = this.giveBack(subject);
+      const released = this.deliverRelease(subject);
       if (verdict.type !== 'undecided') return conclude(verdict);
       sawEarlierAttempt ||= round.sawEarlierAttempt;
       noEarlierAttempt = round.provesNoEarlierAttempt;
@@ -80,7 +80,7 @@
       await pause(clock, 1 + random.next() * timing.retryJitterMs);
     } while (clock.now() < deadline);
     if (sawEarlierAttempt) return { type: 'in-progress' };
-    return refuseUnavailable('no majority of replicas in time', noEarlierAttempt);
+    return refuseUnavailable('no majority of replicas agreed in time', noEarlierAttempt);
   }
 
   private async runRound(
@@ -99,26 +99,26 @@
     return verdict.type === 'waiting' ? { type: 'undecided' } : verdict;
   }
 
-  private async giveBack({ key, attemptId }: ClaimSubject): Promise<void> {
+  private async deliverRelease({ key, attemptId }: ClaimSubject): Promise<void> {
     await this.options.delivery.deliver(key, { type: 'release', key, attemptId });
   }
 
   /**
-   * Each round claims under an id of its own, because the release of a round that gave up may
+   * Each round claims under its own attempt id, because the release of a round that gave up may
    * reach a replica after the grant of the next one.
    */
-  private describe(request: ClaimRequest): ClaimSubject {
-    this.rounds += 1;
+  private createSubject(request: ClaimRequest): ClaimSubject {
+    this.roundCount += 1;
     return {
       key: `${request.tenant}/${request.service}/${request.key.toLowerCase()}`,
       issuedAtMs: readIssueTime(request.key.toLowerCase()) ?? 0,
       fingerprint: request.fingerprint,
-      attemptId: `${request.attemptId}.${this.rounds}`,
+      attemptId: `${request.attemptId}.${this.roundCount}`,
     };
   }
 }
 
-/** Maps a round that has ended without a grant. */
+/** Maps the verdict of a round that ended without a grant. */
 function conclude(verdict: ClaimVerdict): ClaimDecision {
   switch (verdict.type) {
     case 'finished':
@@ -126,7 +126,7 @@
     case 'reused':
       return refuse(ResultCode.IdempotencyKeyReused, 'the key was used for another request');
     case 'expired':
-      return refuse(ResultCode.IdempotencyKeyExpired, 'the key is too old for the replicas');
+      return refuse(ResultCode.IdempotencyKeyExpired, 'the key is older than the replicas accept');
     default:
       return { type: 'in-progress' };
   }
@@ -138,7 +138,7 @@
 
 /**
  * This attempt was not run. An earlier one with the same key may have been, unless a majority
- * had no record of one; so the caller is told `unknown` in all other cases.
+ * had no record of one; in all other cases the execution is reported as `unknown`.
  */
 function refuseUnavailable(detail: string, noEarlierAttempt = false): ClaimDecision {
   const execution: Execution = noEarlierAttempt ? 'not-run' : 'unknown';
--- a/src/claims/claim-task.test.ts
+++ b/src/claims/claim-task.test.ts
@@ -15,7 +15,7 @@
 
 const ANSWER: HttpAnswer = { status: 201, headers: [['x', 'y']], body: Buffer.from([1, 2]) };
 
-test('a key is granted once, and its answer is kept for repeats at other nodes', async () => {
+test('a key is granted once, and its answer is kept for retries at other nodes', async () => {
   const fleet = await createClaimFleet();
   const key = fleet.createKey();
   assert.equal((await fleet.claim('a', key, 'first')).type, 'granted');
@@ -57,7 +57,7 @@
   assert.equal((await fleet.claim('b', key, 'second')).type, 'granted');
 });
 
-test('two nodes that claim at once: at most one is granted', async () => {
+test('a key that several nodes claim at once is granted to one of them', async () => {
   const fleet = await createClaimFleet();
   for (let serial = 0; serial < 20; serial += 1) {
     const key = fleet.createKey(0, serial);
@@ -69,7 +69,7 @@
   }
 });
 
-test('invalid, early and late keys are refused by number', async () => {
+test('invalid, future and expired keys are refused with their result codes', async () => {
   const fleet = await createClaimFleet();
   const cases = [
     ['no uuid', ResultCode.InvalidField],
@@ -83,7 +83,7 @@
   }
 });
 
-test('a node that is cut off is not granted, and does not say that the key was not run', async () => {
+test('a node that is cut off is refused, with unknown execution', async () => {
   const fleet = await createClaimFleet();
   fleet.cut('c');
   const key = fleet.createKey();
@@ -105,7 +105,7 @@
   assert.equal((await fleet.claim('a', fleet.createKey(0, 9), 'third')).type, 'granted');
 });
 
-test('a machine replaced under a new name takes the place, also while the platform is down', async () => {
+test('a replacement under a new name joins the group, also while the platform is down', async () => {
   const fleet = await createClaimFleet();
   const key = fleet.createKey();
   await fleet.claim('a', key, 'first');
@@ -140,7 +140,7 @@
   assert.equal((await fleet.claim('e', key, 'fourth')).type, 'in-progress');
 });
 
-test('tables of many pages are handed over and read after a restart', async () => {
+test('tables of many pages are transferred, and read after a restart', async () => {
   const fleet = await createClaimFleet({ pageBytes: 1_000 });
   const keys = Array.from({ length: 40 }, (_, serial) => fleet.createKey(0, serial));
   for (const key of keys) await fleet.claim('a', key, `first-${key}`);
@@ -158,7 +158,7 @@
   }
 });
 
-test('a member that was started alone completes the change of its dead proposer', async () => {
+test('the only member that was started completes the change of its crashed proposer', async () => {
   const fleet = await createClaimFleet();
   const key = fleet.createKey();
   await fleet.claim('a', key, 'first');
@@ -169,7 +169,7 @@
   assert.equal((await fleet.claim('c', fleet.createKey(0, 1), 'third')).type, 'granted');
 });
 
-test('a planned stop that reaches nobody ends at its limit', async () => {
+test('a planned stop that reaches no other node ends at its time limit', async () => {
   const fleet = await createClaimFleet();
   fleet.cut('a');
   const startedAt = fleet.clock.now();
@@ -178,7 +178,7 @@
   assert.equal((await fleet.claim('b', fleet.createKey(), 'first')).type, 'granted');
 });
 
-test('a group whose members all restarted is started anew and refuses the keys of before', async () => {
+test('a group whose members all restarted is restarted and refuses earlier keys', async () => {
   const fleet = await createClaimFleet();
   const key = fleet.createKey();
   await fleet.claim('a', key, 'first');
@@ -196,7 +196,7 @@
   assert.equal((await fleet.claim('b', fleet.createKey(), 'fourth')).type, 'granted');
 });
 
-test('two cut-off members are not taken for lost', async () => {
+test('two members that are cut off do not count as lost', async () => {
   const fleet = await createClaimFleet();
   const key = fleet.createKey();
   await fleet.claim('b', key, 'first');
@@ -215,10 +215,12 @@
 const FIRST_WRITES = ['layout', 'placement'] as const;
 
 for (const [index, written] of FIRST_WRITES.entries()) {
-  for (const fate of ['refused', 'lost-before', 'lost-after', 'late'] as const) {
-    test(`the first ${written} survives a write that is ${fate}`, async () => {
+  for (const outcome of ['refused', 'lost-before', 'lost-after', 'late'] as const) {
+    test(`the first ${written} survives a write that is ${outcome}`, async () => {
       let writes = 0;
-      const fleet = await createClaimFleet({ nextWrite: () => (writes++ === index ? fate : 'ok') });
+      const fleet = await createClaimFleet({
+        nextWrite: () => (writes++ === index ? outcome : 'ok'),
+      });
       fleet.platform.deliverLate();
       await fleet.pass(5_000);
       const known = [...fleet.nodes.values()].map((task) => {
@@ -251,7 +253,7 @@
   }
 });
 
-test('nodes that each hear no majority grant nothing beyond the bound between them', async () => {
+test('nodes that each receive no majority grant nothing beyond the bound together', async () => {
   const fleet = await createClaimFleet();
   const charge = (node: string): Promise<Result<number, Failure>> => {
     const deadline = fleet.clock.now() + 1_000;
--- a/src/claims/claim-task.ts
+++ b/src/claims/claim-task.ts
@@ -1,4 +1,4 @@
-/** Claims at one node: replicas, coordinators and placement of all groups, put together. */
+/** Claim service of one node: connects the replicas, coordinators and placement of all groups. */
 import type { Result } from 'true-myth';
 import type { PlacementRecord } from '../core/claim/placement.js';
 import type { ReplicaStatus } from '../core/claim/replica-messages.js';
@@ -23,14 +23,14 @@
 import { DEFAULT_CLAIM_TIMING, type ClaimTiming } from './claim-timing.js';
 import { GroupDirectory } from './group-directory.js';
 import { serveGroups } from './group-service.js';
-import { GroupsKeeper } from './groups-keeper.js';
+import { GroupManager } from './group-manager.js';
 import { ReplicaDelivery } from './replica-delivery.js';
 import type { GroupAccess } from './group-access.js';
 
-/** What the claims of a node need. */
+/** Options of a {@link ClaimTask}. */
 export interface ClaimTaskOptions {
   readonly nodeId: string;
-  /** Unique per process start and growing; see `createIncarnation`. */
+  /** Unique per process start and increasing; see `createIncarnation`. */
   readonly incarnation: number;
   readonly clock: Clock;
   readonly log: EventLog;
@@ -39,15 +39,15 @@
   readonly platform: PlatformClient;
   /** Requests that may wait for one local replica. */
   readonly mailboxCapacity: number;
-  /** Largest page of a table in a hand-over, in bytes. */
+  /** Largest page of a transferred table, in bytes. */
   readonly pageBytes?: number | undefined;
-  /** Number of groups to begin with when this node starts the fleet. */
+  /** Number of groups when this node creates the layout of the fleet. */
   readonly wantedGroups?: number | undefined;
   readonly timing?: ClaimTiming;
   readonly metrics?: Metrics;
 }
 
-/** Distinguishes process starts within one millisecond, or after the wall clock was set back. */
+/** Distinguishes process starts within one millisecond or after the wall clock was set back. */
 const INCARNATIONS_PER_MS = 4_096;
 
 /**
@@ -63,7 +63,7 @@
 /** The claim service with its replicas. */
 export class ClaimTask implements ClaimService {
   private readonly directory: GroupDirectory;
-  private readonly keeper: GroupsKeeper;
+  private readonly groupManager: GroupManager;
   private readonly delivery: ReplicaDelivery;
   private readonly clock: Clock;
   private readonly drainMs: number;
@@ -80,16 +80,16 @@
     const random = createRandom(incarnation % 2 ** 31);
     const { network, platform, mailboxCapacity, pageBytes, wantedGroups } = options;
     const self = { nodeId, incarnation };
-    const directory = { self, network, clock, log, mailboxCapacity, pageBytes };
-    this.directory = new GroupDirectory(directory);
+    const directoryOptions = { self, network, clock, log, mailboxCapacity, pageBytes };
+    this.directory = new GroupDirectory(directoryOptions);
     serveGroups(network, this.directory);
-    const keeper = { clock, timing, random, membership, network, platform, wantedGroups };
-    this.keeper = new GroupsKeeper({ ...keeper, directory: this.directory });
+    const managerOptions = { clock, timing, random, membership, network, platform, wantedGroups };
+    this.groupManager = new GroupManager({ ...managerOptions, directory: this.directory });
     const groupOf = (key: string): GroupAccess | undefined => this.directory.groupOf(key);
     this.delivery = new ReplicaDelivery({ clock, timing, groupOf });
-    const requester = { clock, log, timing, random, delivery: this.delivery, groupOf };
-    this.claims = new ClaimRequester(requester);
-    this.charges = new ChargeRequester(requester, `${nodeId}#${incarnation}`);
+    const requesterOptions = { clock, log, timing, random, delivery: this.delivery, groupOf };
+    this.claims = new ClaimRequester(requesterOptions);
+    this.charges = new ChargeRequester(requesterOptions, `${nodeId}#${incarnation}`);
   }
 
   /** Number of groups of the fleet; `undefined` until it is known. */
@@ -97,7 +97,7 @@
     return this.directory.count;
   }
 
-  /** What the local replica of a group does now. */
+  /** Current status of the local replica of a group. */
   replicaStatusOf(group: number): ReplicaStatus {
     return this.directory.open(group).replica.view.status;
   }
@@ -139,23 +139,23 @@
 
   /** Starts placement and recovery. */
   start(): void {
-    this.keeper.start();
+    this.groupManager.start();
   }
 
   /**
-   * Planned stop: hands the replica's tables over and delivers what ended claims still have to
-   * tell; bounded in time.
+   * Planned stop: transfers the replicas' tables and delivers the pending messages of ended
+   * claims; bounded in time.
    */
   async drain(): Promise<void> {
-    const end = this.clock.now() + this.drainMs;
-    await this.keeper.handOver();
-    await this.delivery.drain(end);
+    const deadline = this.clock.now() + this.drainMs;
+    await this.groupManager.transferPlaces();
+    await this.delivery.drain(deadline);
   }
 
-  /** Stops at once. */
+  /** Stops at once, without a drain. */
   stop(): void {
     this.delivery.stop();
-    this.keeper.stop();
+    this.groupManager.stop();
     this.directory.close();
   }
 }
--- a/src/claims/claim-timing.ts
+++ b/src/claims/claim-timing.ts
@@ -4,31 +4,31 @@
 export interface ClaimTiming {
   /** Longest wait for the replies of one round of a claim or charge. */
   readonly roundTimeoutMs: number;
-  /** Longest wait for a claim, however long the request may wait. */
+  /** Longest wait for a claim, even when the request's deadline is later. */
   readonly claimWaitMs: number;
   /** Largest random pause before another round. */
   readonly retryJitterMs: number;
-  /** Pause before the first repeat of a release, finish or give-back; doubles each time. */
+  /** Pause before the first retry of a release, finish or give-back; doubles each time. */
   readonly deliveryRetryMs: number;
-  /** Interval of the placement keeper. */
+  /** Interval of the group manager's steps. */
   readonly tickMs: number;
-  /** Interval of asking a random node for its placement record. */
+  /** Interval of requesting newer placement records from a random node. */
   readonly gossipMs: number;
   /** Interval of comparing the placement record with the platform's. */
   readonly platformMs: number;
-  /** Time to wait for nodes of three zones before the first placement. */
+  /** Longest wait for nodes of three zones before the first placement. */
   readonly bootstrapWaitMs: number;
-  /** Time for which a wanted change of members must have been stable. */
+  /** Time for which a change of members must have been wanted before it begins. */
   readonly changeDelayMs: number;
   /** Time after which another member takes over an unfinished change. */
   readonly takeOverMs: number;
-  /** Limit of one exchange of a change of epoch. */
+  /** Time limit of one exchange of a change of epoch. */
   readonly changeTimeoutMs: number;
-  /** Limit of the hand-over at a planned stop. */
+  /** Time limit of the transfer at a planned stop. */
   readonly drainMs: number;
 }
 
-/** Timing of a node. */
+/** Default timing of a node. */
 export const DEFAULT_CLAIM_TIMING: ClaimTiming = {
   roundTimeoutMs: 1_000,
   claimWaitMs: 3_000,
--- a/src/claims/epoch-changer.ts
+++ b/src/claims/epoch-changer.ts
@@ -9,7 +9,7 @@
 import type { ReplicaClient } from './replica-client.js';
 import type { ReplicaTask } from './replica-task.js';
 
-/** What the changer needs. */
+/** Dependencies of an {@link EpochChanger}. */
 export interface EpochChangerOptions {
   readonly clock: Clock;
   readonly timing: ClaimTiming;
@@ -18,7 +18,7 @@
   readonly store: PlacementStore;
 }
 
-/** Proposer of epochs at one node. */
+/** Proposes epochs of one group at one node. */
 export class EpochChanger {
   private round = 0;
   private busy = false;
@@ -26,48 +26,49 @@
   constructor(private readonly options: EpochChangerOptions) {}
 
   /**
-   * Proposes new members and carries the change through, or the change that another proposer
-   * has begun. May end without success; the caller tries again.
+   * Proposes new members and completes that change, or the change that another proposer has
+   * begun. May end without success; the caller retries.
    *
    * @param chosen node ids of the next epoch
-   * @param end give up at this local monotonic time
+   * @param deadline give up at this local monotonic time
    * @returns whether a next epoch was established
    */
-  async change(chosen: readonly string[], end: number): Promise<boolean> {
+  async change(chosen: readonly string[], deadline: number): Promise<boolean> {
     const old = this.options.replica.view.record;
     if (old === undefined || this.busy) return false;
     this.busy = true;
     try {
-      return await this.propose(old, chosen, end);
+      return await this.propose(old, chosen, deadline);
     } finally {
       this.busy = false;
     }
   }
 
   /**
-   * Asks nodes for their incarnations. Leaves out nodes that are about to stop, and new ones that
-   * do not answer. A present member that does not answer stays while the others are a majority.
+   * Queries nodes for their incarnations. Leaves out nodes that are about to stop, and new ones
+   * that do not reply. A current member that does not reply stays while the others are a majority.
    */
   async findMembers(
     old: PlacementRecord | undefined,
     chosen: readonly string[],
   ): Promise<readonly Incarnation[]> {
     const { client, timing } = this.options;
-    const answering: Incarnation[] = [];
-    const silent: Incarnation[] = [];
-    const asks = chosen.map(async (nodeId) => {
+    const responsive: Incarnation[] = [];
+    const unresponsive: Incarnation[] = [];
+    const requests = chosen.map(async (nodeId) => {
       const reply = await client.ask(nodeId, { type: 'status' }, timing.changeTimeoutMs);
-      const present = old?.members.find((member) => member.nodeId === nodeId);
-      if (reply?.type !== 'status') silent.push(...(present === undefined ? [] : [present]));
-      else if (reply.willing) answering.push({ nodeId, incarnation: reply.incarnation });
+      const currentMember = old?.members.find((member) => member.nodeId === nodeId);
+      if (reply?.type !== 'status')
+        unresponsive.push(...(currentMember === undefined ? [] : [currentMember]));
+      else if (reply.willing) responsive.push({ nodeId, incarnation: reply.incarnation });
     });
-    await Promise.all(asks);
-    const all = [...answering, ...silent];
-    const members = answering.length >= majorityOf(all.length) ? all : answering;
+    await Promise.all(requests);
+    const all = [...responsive, ...unresponsive];
+    const members = responsive.length >= majorityOf(all.length) ? all : responsive;
     return members.sort((a, b) => chosen.indexOf(a.nodeId) - chosen.indexOf(b.nodeId));
   }
 
-  /** Tells the members of the given records that the last of these is established. */
+  /** Notifies the members of the given records that the last of these is established. */
   async establish(records: readonly PlacementRecord[]): Promise<void> {
     const record = records.at(-1);
     if (record === undefined) return;
@@ -78,10 +79,10 @@
   private async propose(
     old: PlacementRecord,
     chosen: readonly string[],
-    end: number,
+    deadline: number,
   ): Promise<boolean> {
     const members = await this.findMembers(old, chosen);
-    if (members.length === 0 || !this.isWorthwhile(old, members)) return false;
+    if (members.length === 0 || !this.isChangeNeeded(old, members)) return false;
     const proposed = { epoch: old.epoch + 1, members, fresh: false, floorMs: old.floorMs };
     const change = new EpochChange(old, this.nextBallot(), proposed);
     const { epoch } = old;
@@ -92,14 +93,14 @@
     if (!(await this.runPhase(change, { type: 'accept', epoch, ballot, successor }, 'decided'))) {
       return false;
     }
-    if (!(await this.install(change, end))) return false;
+    if (!(await this.install(change, deadline))) return false;
     await this.establish([old, successor]);
     await this.options.store.publish(successor);
     return true;
   }
 
-  /** Whether the members differ from the present ones, or an unfinished change holds up votes. */
-  private isWorthwhile(old: PlacementRecord, members: readonly Incarnation[]): boolean {
+  /** Whether the members differ from the current ones, or an unfinished change blocks votes. */
+  private isChangeNeeded(old: PlacementRecord, members: readonly Incarnation[]): boolean {
     if (this.options.replica.view.status === 'sealed') return true;
     const isPresent = (each: Incarnation): boolean =>
       old.members.some((member) => member.nodeId === each.nodeId);
@@ -121,8 +122,8 @@
     return change.step === wanted;
   }
 
-  /** Starts the new members; this node's own replica last, as it holds the old epoch's memory. */
-  private async install(change: EpochChange, end: number): Promise<boolean> {
+  /** Starts the new members; this node's replica last, because it holds the old epoch's memory. */
+  private async install(change: EpochChange, deadline: number): Promise<boolean> {
     const { clock, replica } = this.options;
     const merged = new ClaimTable();
     for (const table of change.tables) merged.merge(table);
@@ -141,22 +142,22 @@
         });
       }
       if (installed.size >= majorityOf(ids.length)) return true;
-    } while (clock.now() < end);
+    } while (clock.now() < deadline);
     return false;
   }
 
   /**
-   * Completes a change whose proposer has gone after it had started this node's replica: passes
-   * the replica's own tables on to the other members, as a pending one might read them.
+   * Completes a change whose proposer disappeared after it had started this node's replica: sends
+   * this replica's tables to the other members, just as a pending member might read them.
    */
   async complete(): Promise<void> {
     const { client, replica, timing } = this.options;
     const { self, record, status } = replica.view;
     if (record === undefined || (status !== 'voting' && status !== 'sealed')) return;
     const read = { type: 'recover', epoch: record.epoch, ...self } as const;
-    const own = await client.ask(self.nodeId, read, timing.changeTimeoutMs);
-    if (own?.type !== 'recovered') return;
-    const request = { type: 'install', record, table: own.memory.table } as const;
+    const ownReply = await client.ask(self.nodeId, read, timing.changeTimeoutMs);
+    if (ownReply?.type !== 'recovered') return;
+    const request = { type: 'install', record, table: ownReply.memory.table } as const;
     let installed = 0;
     const ids = record.members.map((member) => member.nodeId);
     await this.askEach(ids, request, (reply) => {
@@ -166,7 +167,7 @@
     if (installed >= majorityOf(ids.length)) await this.establish([record]);
   }
 
-  /** Asks nodes at once; resolves when `isEnough` says so or all have answered or timed out. */
+  /** Queries all nodes at once; resolves on `isEnough`, or when all have replied or timed out. */
   private askEach(
     nodeIds: readonly string[],
     request: ReplicaRequest,
@@ -174,17 +175,17 @@
   ): Promise<void> {
     const { client, timing } = this.options;
     return new Promise((resolve) => {
-      const asks = nodeIds.map(async (nodeId) => {
+      const requests = nodeIds.map(async (nodeId) => {
         const reply = await client.ask(nodeId, request, timing.changeTimeoutMs);
         if (reply !== undefined && isEnough(reply, nodeId)) resolve();
       });
-      void Promise.all(asks).then(() => {
+      void Promise.all(requests).then(() => {
         resolve();
       });
     });
   }
 
-  /** A ballot above all that this node has seen; unique, as it names the process's incarnation. */
+  /** A ballot above all that this node has seen; unique, as it contains the incarnation. */
   private nextBallot(): { readonly round: number; readonly nodeId: string } {
     const { self, promisedBallot } = this.options.replica.view;
     this.round = Math.max(this.round, promisedBallot?.round ?? 0) + 1;
--- a/src/claims/granted-claims.ts
+++ b/src/claims/granted-claims.ts
@@ -3,10 +3,10 @@
 import type { ClaimSubject } from '../core/claim/claim-table.js';
 import type { Clock } from '../kernel/clock.js';
 
-/** Claims in progress kept at most; the oldest are forgotten first. */
-const MAX_GRANTED = 100_000;
+/** Maximum number of claims in progress that are kept; the oldest are evicted first. */
+const MAX_GRANTED_CLAIMS = 100_000;
 
-/** The claims behind attempts in progress. */
+/** Claims of attempts in progress. */
 export class GrantedClaims {
   private readonly claims = new Map<string, { subject: ClaimSubject; grantedAt: number }>();
 
@@ -14,7 +14,7 @@
 
   add(attemptId: string, subject: ClaimSubject): void {
     this.claims.set(attemptId, { subject, grantedAt: this.clock.now() });
-    this.forgetOldest();
+    this.evictOldest();
   }
 
   /** Removes and returns the claim of an attempt. */
@@ -24,10 +24,10 @@
     return claim?.subject;
   }
 
-  private forgetOldest(): void {
+  private evictOldest(): void {
     const expired = this.clock.now() - KEY_HORIZON_MS;
     for (const [attemptId, claim] of this.claims) {
-      if (this.claims.size <= MAX_GRANTED && claim.grantedAt > expired) return;
+      if (this.claims.size <= MAX_GRANTED_CLAIMS && claim.grantedAt > expired) return;
       this.claims.delete(attemptId);
     }
   }
--- a/src/claims/group-access.ts
+++ b/src/claims/group-access.ts
@@ -1,12 +1,12 @@
-/** A replica group as coordinators and delivery use it. */
+/** Interface of a replica group for coordinators and delivery. */
 import type { PlacementRecord } from '../core/claim/placement.js';
 import type { ReplicaClient } from './replica-client.js';
 
-/** One group as its coordinators use it. */
+/** Access to the replicas and the placement of one group. */
 export interface GroupAccess {
   readonly client: Pick<ReplicaClient, 'ask' | 'askAll'>;
   /** Newest established placement record. */
   readonly placement: PlacementRecord | undefined;
-  /** Takes in a newer record that a replica told about. */
+  /** Records a newer placement record that a replica reported. */
   observe(record: PlacementRecord): void;
 }
--- a/src/claims/group-directory.ts
+++ b/src/claims/group-directory.ts
@@ -9,7 +9,7 @@
 import { ReplicaServer } from './replica-server.js';
 import { ReplicaTask } from './replica-task.js';
 
-/** What the directory needs. */
+/** Dependencies of a {@link GroupDirectory}. */
 export interface GroupDirectoryOptions {
   readonly self: Incarnation;
   readonly network: PeerNetwork;
@@ -42,43 +42,43 @@
     return this.replica.view.newestRecord;
   }
 
-  /** Takes in a record that somebody told about. */
+  /** Records a newer placement record that another node or the platform reported. */
   observe(record: PlacementRecord): void {
     if (record.epoch <= (this.placement?.epoch ?? 0)) return;
     this.replica.post({ type: 'observe', record });
   }
 
-  /** Whether the replica takes part or may have to; otherwise the group needs no work here. */
+  /** Whether the replica participates or may have to; otherwise the group needs no work here. */
   get isActive(): boolean {
     const { status, isMember } = this.replica.view;
     return isMember || status !== 'idle';
   }
 }
 
-/** The groups of one node. */
+/** The replica groups that one node knows. */
 export class GroupDirectory {
   private readonly groups = new Map<number, LocalGroup>();
-  private layout: number | undefined;
+  private groupCount: number | undefined;
   private leaving = false;
 
   constructor(private readonly options: GroupDirectoryOptions) {}
 
   /** Number of groups of the fleet; `undefined` until it is known. */
   get count(): number | undefined {
-    return this.layout;
+    return this.groupCount;
   }
 
-  /** Takes in the number of groups; it never changes. */
+  /** Sets the number of groups; once set, it never changes. */
   setCount(count: number): void {
-    this.layout ??= count;
+    this.groupCount ??= count;
   }
 
   /** The group of a key; `undefined` until the number of groups is known. */
   groupOf(key: string): LocalGroup | undefined {
-    return this.layout === undefined ? undefined : this.open(groupOfKey(key, this.layout));
+    return this.groupCount === undefined ? undefined : this.open(groupOfKey(key, this.groupCount));
   }
 
-  /** The group of this number. */
+  /** Finds the group of this number; creates it on first use. */
   open(index: number): LocalGroup {
     const known = this.groups.get(index);
     if (known !== undefined) return known;
@@ -88,49 +88,49 @@
     return group;
   }
 
-  /** Groups that this node has had to do with. */
+  /** Groups that have been used at this node. */
   get opened(): readonly LocalGroup[] {
     return [...this.groups.values()];
   }
 
-  /** Whether the layout and a record of each group are known. */
+  /** Whether the number of groups and a record of each group are known. */
   get isComplete(): boolean {
-    return this.layout !== undefined && this.missing.length === 0;
+    return this.groupCount !== undefined && this.missing.length === 0;
   }
 
   /** Groups without a known record. */
   get missing(): readonly number[] {
-    const indices = Array.from({ length: this.layout ?? 0 }, (_, index) => index);
+    const indices = Array.from({ length: this.groupCount ?? 0 }, (_, index) => index);
     return indices.filter((index) => this.groups.get(index)?.placement === undefined);
   }
 
-  /** Planned stop: from now on this node is no candidate for a next epoch of any group. */
+  /** Planned stop: this node is no longer a candidate for a next epoch of any group. */
   withdraw(): void {
     this.leaving = true;
     for (const { replica } of this.groups.values()) replica.post({ type: 'withdraw' });
   }
 
-  /** What this node knows, as a question to another one. */
-  describe(): RecordsRequest {
-    const count = this.layout ?? 0;
+  /** Creates a request for the records that are newer than those of this node. */
+  createRecordsRequest(): RecordsRequest {
+    const count = this.groupCount ?? 0;
     const epochs = Array.from({ length: count }, (_, index) => {
       return this.groups.get(index)?.placement?.epoch ?? 0;
     });
     return { groups: count, epochs };
   }
 
-  /** Records that are newer than what the asker knows. */
+  /** Finds the records that are newer than those of the requesting node. */
   findNewer({ groups, epochs }: RecordsRequest): RecordsReply {
     if (groups > 0) this.setCount(groups);
     const records = this.opened.flatMap(({ index, placement }) => {
-      if (index >= (this.layout ?? 0) || placement === undefined) return [];
+      if (index >= (this.groupCount ?? 0) || placement === undefined) return [];
       return placement.epoch > (epochs[index] ?? 0) ? [{ group: index, record: placement }] : [];
     });
-    return { groups: this.layout ?? 0, records };
+    return { groups: this.groupCount ?? 0, records };
   }
 
-  /** Takes in what another node knows. */
-  take({ groups, records }: RecordsReply): void {
+  /** Applies another node's reply to a request for records. */
+  applyRecords({ groups, records }: RecordsReply): void {
     if (groups > 0) this.setCount(groups);
     for (const { group, record } of records) this.open(group).observe(record);
   }
--- a/src/claims/groups-keeper.ts
+++ b/src/claims/group-manager.ts
@@ -1,7 +1,7 @@
 /**
  * Periodic work for all replica groups at one node. Its cost does not grow with the fleet: one
- * question a second to a random node, and work for the groups in which this node takes part.
- * The first node of the fleet also creates what is missing and looks for lost groups.
+ * query a second to a random node, and work for the groups in which this node participates.
+ * The first node of the fleet also creates missing records and checks for lost groups.
  */
 import { defaultGroupCount } from '../core/claim/claim-groups.js';
 import type { Candidate } from '../core/claim/placement-policy.js';
@@ -12,7 +12,7 @@
 import type { PlatformClient } from '../etcd/platform-client.js';
 import type { ClaimTiming } from './claim-timing.js';
 import type { GroupDirectory, LocalGroup } from './group-directory.js';
-import { PlacementKeeper } from './placement-keeper.js';
+import { PlacementManager } from './placement-manager.js';
 import {
   createLayout,
   PlacementStore,
@@ -20,8 +20,8 @@
   type StoredClaims,
 } from './placement-store.js';
 
-/** What the keeper needs. */
-export interface GroupsKeeperOptions {
+/** Dependencies of a {@link GroupManager}. */
+export interface GroupManagerOptions {
   readonly clock: Clock;
   readonly timing: ClaimTiming;
   readonly random: Random;
@@ -29,33 +29,33 @@
   readonly network: PeerNetwork;
   readonly platform: PlatformClient;
   readonly directory: GroupDirectory;
-  /** Number of groups to begin with when this node starts the fleet; by its size when absent. */
+  /** Number of groups when this node creates the layout; by the fleet's size when absent. */
   readonly wantedGroups?: number | undefined;
 }
 
-/** Peers asked at each gossip step while something is unknown. */
-const FIRST_GOSSIP_PEERS = 3;
+/** Peers queried at each gossip step while the layout or a record is unknown. */
+const INITIAL_GOSSIP_PEERS = 3;
 
-/** Time for which the list of machines is used again, in milliseconds. */
-const MACHINES_KEPT_MS = 2_000;
+/** Time for which the list of machines is reused, in milliseconds. */
+const MACHINE_LIST_MAX_AGE_MS = 2_000;
 
-/** Zones of which nodes are awaited before the first placement. */
-const AWAITED_ZONES = 3;
+/** Number of zones with a node at which the first placement need not wait any longer. */
+const BOOTSTRAP_ZONES = 3;
 
-/** The keeper of one node. */
-export class GroupsKeeper {
-  private readonly keepers = new Map<number, PlacementKeeper>();
+/** Manages the replica groups at one node. */
+export class GroupManager {
+  private readonly placementManagers = new Map<number, PlacementManager>();
   private readonly startedAt: number;
   private cancelTick: CancelTimer | undefined;
   private stopped = false;
   private leaving = false;
   private nextGossipAt = 0;
-  private nextPlatformAt = 0;
+  private nextPlatformReadAt = 0;
   private nextLossCheckAt = 0;
   private machines:
     { readonly at: number; readonly list: ReturnType<PlatformClient['machines']> } | undefined;
 
-  constructor(private readonly options: GroupsKeeperOptions) {
+  constructor(private readonly options: GroupManagerOptions) {
     this.startedAt = options.clock.now();
   }
 
@@ -68,14 +68,14 @@
   stop(): void {
     this.stopped = true;
     this.cancelTick?.();
-    for (const keeper of this.keepers.values()) keeper.stop();
+    for (const manager of this.placementManagers.values()) manager.stop();
   }
 
-  /** Planned stop: moves this node's places in all groups to others, within the drain limit. */
-  async handOver(): Promise<void> {
+  /** Planned stop: moves this node's places in all groups to others, within the drain time. */
+  async transferPlaces(): Promise<void> {
     this.leaving = true;
     this.options.directory.withdraw();
-    await Promise.all(this.activeKeepers().map((keeper) => keeper.handOver()));
+    await Promise.all(this.activeManagers().map((manager) => manager.transferPlace()));
   }
 
   private async runTick(): Promise<void> {
@@ -93,99 +93,104 @@
       this.nextGossipAt = now + (directory.isComplete ? timing.gossipMs : timing.tickMs);
       await this.gossip();
     }
-    if (!directory.isComplete && now >= this.nextPlatformAt) {
-      this.nextPlatformAt = now + timing.gossipMs * (0.75 + this.options.random.next() / 2);
-      await this.begin(now);
+    if (!directory.isComplete && now >= this.nextPlatformReadAt) {
+      this.nextPlatformReadAt = now + timing.gossipMs * (0.75 + this.options.random.next() / 2);
+      await this.bootstrap(now);
     }
-    for (const keeper of this.activeKeepers()) void keeper.step(now);
+    for (const manager of this.activeManagers()) void manager.step(now);
     if (directory.count !== undefined && now >= this.nextLossCheckAt) {
       this.nextLossCheckAt = now + timing.platformMs;
       if (this.isFirstNode()) void this.checkLosses(directory.count);
     }
   }
 
-  /** Asks a random node (several while something is unknown) for what is newer there. */
+  /** Requests newer records from a random node, or several while something is unknown. */
   private async gossip(): Promise<void> {
     const { membership, random, directory } = this.options;
     const self = membership.self().nodeId;
     const others = membership.members().filter((member) => member.nodeId !== self);
-    const wanted = directory.isComplete ? 1 : FIRST_GOSSIP_PEERS;
-    const asks: Promise<void>[] = [];
-    for (let asked = 0; asked < Math.min(wanted, others.length); asked += 1) {
-      asks.push(this.askForRecords(others[random.nextInt(others.length)]!));
+    const wanted = directory.isComplete ? 1 : INITIAL_GOSSIP_PEERS;
+    const requests: Promise<void>[] = [];
+    for (let sent = 0; sent < Math.min(wanted, others.length); sent += 1) {
+      requests.push(this.requestRecords(others[random.nextInt(others.length)]!));
     }
-    await Promise.all(asks);
+    await Promise.all(requests);
   }
 
-  private async askForRecords({ nodeId }: Member): Promise<void> {
+  private async requestRecords({ nodeId }: Member): Promise<void> {
     const { network, directory, timing } = this.options;
     const limit = { timeoutMs: timing.changeTimeoutMs };
-    const reply = await network.call(nodeId, 'claimRecords', directory.describe(), limit);
-    if (reply.isOk) directory.take(reply.value);
+    const reply = await network.call(
+      nodeId,
+      'claimRecords',
+      directory.createRecordsRequest(),
+      limit,
+    );
+    if (reply.isOk) directory.applyRecords(reply.value);
   }
 
   /** Reads the platform's records; the first node creates those that do not exist yet. */
-  private async begin(now: number): Promise<void> {
+  private async bootstrap(now: number): Promise<void> {
     const { platform, directory } = this.options;
     const stored = await readStoredClaims(platform);
     if (stored === undefined) return;
-    this.takeStored(stored);
-    if (!this.mayCreate(now)) return;
+    this.applyStored(stored);
+    if (!this.shouldCreateRecords(now)) return;
     if (directory.count === undefined) {
-      const wish = this.options.wantedGroups ?? defaultGroupCount(this.candidates().length);
-      await createLayout(platform, wish);
+      const count = this.options.wantedGroups ?? defaultGroupCount(this.candidates().length);
+      await createLayout(platform, count);
       const written = await readStoredClaims(platform);
-      if (written !== undefined) this.takeStored(written);
+      if (written !== undefined) this.applyStored(written);
     }
     const missing = directory.missing.filter((group) => !stored.records.has(group));
-    const creations = missing.map((group) => this.keeperOf(directory.open(group)));
-    await Promise.all(creations.map((keeper) => keeper.createFirstRecord()));
+    const creations = missing.map((group) => this.managerOf(directory.open(group)));
+    await Promise.all(creations.map((manager) => manager.createFirstRecord()));
   }
 
-  private takeStored({ groups, records }: StoredClaims): void {
+  private applyStored({ groups, records }: StoredClaims): void {
     const { directory } = this.options;
     if (groups !== undefined) directory.setCount(groups);
     for (const [group, record] of records) directory.open(group).observe(record);
   }
 
-  /** Whether this node is to create what is missing, now. */
-  private mayCreate(now: number): boolean {
+  /** Whether this node should create missing records now. */
+  private shouldCreateRecords(now: number): boolean {
     if (this.leaving || !this.isFirstNode()) return false;
     if (now - this.startedAt >= this.options.timing.bootstrapWaitMs) return true;
-    return new Set(this.candidates().map(({ member }) => member.zone)).size >= AWAITED_ZONES;
+    return new Set(this.candidates().map(({ member }) => member.zone)).size >= BOOTSTRAP_ZONES;
   }
 
   private async checkLosses(groups: number): Promise<void> {
     const { directory } = this.options;
     const checks = Array.from({ length: groups }, (_, index) =>
-      this.keeperOf(directory.open(index)).considerRestart(),
+      this.managerOf(directory.open(index)).restartIfLost(),
     );
     await Promise.all(checks);
   }
 
-  private activeKeepers(): readonly PlacementKeeper[] {
+  private activeManagers(): readonly PlacementManager[] {
     const active = this.options.directory.opened.filter((group) => group.isActive);
-    return active.map((group) => this.keeperOf(group));
+    return active.map((group) => this.managerOf(group));
   }
 
-  private keeperOf({ index, replica, client }: LocalGroup): PlacementKeeper {
-    const known = this.keepers.get(index);
+  private managerOf({ index, replica, client }: LocalGroup): PlacementManager {
+    const known = this.placementManagers.get(index);
     if (known !== undefined) return known;
     const { clock, timing, random, membership, platform } = this.options;
-    const keeper = new PlacementKeeper({
+    const manager = new PlacementManager({
       ...{ clock, timing, random, membership, replica, client, group: index },
       store: new PlacementStore(platform, index),
       listMachines: () => this.listMachines(),
       candidates: () => this.candidates(),
     });
-    this.keepers.set(index, keeper);
-    return keeper;
+    this.placementManagers.set(index, manager);
+    return manager;
   }
 
-  /** The list of machines, read once for all groups that are looked at together. */
+  /** The list of machines, read once for all groups that are checked together. */
   private listMachines(): ReturnType<PlatformClient['machines']> {
     const now = this.options.clock.now();
-    if (this.machines === undefined || now - this.machines.at >= MACHINES_KEPT_MS) {
+    if (this.machines === undefined || now - this.machines.at >= MACHINE_LIST_MAX_AGE_MS) {
       this.machines = { at: now, list: this.options.platform.machines() };
     }
     return this.machines.list;
@@ -197,7 +202,7 @@
     return membership.members().every(({ nodeId }) => self <= nodeId);
   }
 
-  /** Nodes as membership sees them; this node does not stay while it leaves. */
+  /** Nodes as membership sees them; this node counts as leaving once its planned stop begins. */
   private candidates(): readonly Candidate[] {
     const { membership } = this.options;
     const self = membership.self().nodeId;
--- a/src/claims/group-restarter.ts
+++ b/src/claims/group-restarter.ts
@@ -1,5 +1,5 @@
 /**
- * Starts a replica group anew after the loss of a majority: a fresh record of the next epoch,
+ * Restarts a replica group after the loss of a majority: writes a fresh record of the next epoch,
  * which refuses every key that the lost group may have granted.
  */
 import {
@@ -18,10 +18,10 @@
 import type { PlacementStore } from './placement-store.js';
 import type { ReplicaClient } from './replica-client.js';
 
-/** Nodes asked at most before a group is started anew. */
+/** Maximum number of nodes that are polled before a group is restarted. */
 const MAX_POLLED_NODES = 1_024;
 
-/** What the restarter needs. */
+/** Dependencies of a {@link GroupRestarter}. */
 export interface GroupRestarterOptions {
   readonly clock: Clock;
   readonly timing: ClaimTiming;
@@ -32,7 +32,7 @@
   readonly changer: EpochChanger;
 }
 
-/** Watches one group from one node. */
+/** Detects from one node that a group is lost, and restarts it. */
 export class GroupRestarter {
   private lost:
     { readonly epoch: number; readonly at: number; readonly wallAt: number } | undefined;
@@ -40,7 +40,7 @@
   constructor(private readonly options: GroupRestarterOptions) {}
 
   /**
-   * Looks at the group once; call it every few seconds from one node of the fleet.
+   * Checks the group once; call it every few seconds from one node of the fleet.
    *
    * @param chosen node ids of a new group
    * @returns the record of the new group, when one was started
@@ -60,10 +60,10 @@
     }
     if (clock.now() - this.lost.at < LOSS_CONFIRMATION_MS) return undefined;
     if (await this.isSupersededAnywhere(record)) return undefined;
-    return this.startAnew(record, chosen, floorAfterLoss(this.lost.wallAt));
+    return this.startNewGroup(record, chosen, floorAfterLoss(this.lost.wallAt));
   }
 
-  /** `undefined` when the list of machines cannot be read. */
+  /** Observes the record's members; `undefined` when the list of machines cannot be read. */
   private async observe(
     record: PlacementRecord,
   ): Promise<ReadonlyMap<string, MemberObservation> | undefined> {
@@ -71,33 +71,33 @@
     if (machines.isErr) return undefined;
     const listed = new Set(machines.value.map((machine) => machine.id));
     const observations = new Map<string, MemberObservation>();
-    const asks = record.members.map(async ({ nodeId }) => {
-      const reply = await this.askStatus(nodeId);
-      const known = this.options.membership.find(nodeId)?.state ?? 'failed';
-      const isGone = known === 'failed' && !listed.has(nodeId);
+    const requests = record.members.map(async ({ nodeId }) => {
+      const reply = await this.requestStatus(nodeId);
+      const memberState = this.options.membership.find(nodeId)?.state ?? 'failed';
+      const isGone = memberState === 'failed' && !listed.has(nodeId);
       if (reply?.type === 'status') {
         const { incarnation, status } = reply;
         observations.set(nodeId, { type: 'answer', incarnation, status });
       } else observations.set(nodeId, { type: isGone ? 'gone' : 'silent' });
     });
-    await Promise.all(asks);
+    await Promise.all(requests);
     return observations;
   }
 
-  /** Whether some node takes part in a later epoch that has not been announced yet. */
+  /** Whether some node participates in a later epoch that has not been announced yet. */
   private async isSupersededAnywhere(record: PlacementRecord): Promise<boolean> {
     const nodes = this.options.membership.members().slice(0, MAX_POLLED_NODES);
-    const replies = await Promise.all(nodes.map((node) => this.askStatus(node.nodeId)));
+    const replies = await Promise.all(nodes.map((node) => this.requestStatus(node.nodeId)));
     return replies.some((reply, index) => {
       if (reply?.type !== 'status') return false;
       if ((reply.record?.epoch ?? 0) > record.epoch) return true;
-      const takesPart = reply.status === 'voting' || reply.status === 'sealed';
-      return takesPart && !isMember(record, nodes[index]!.nodeId);
+      const participates = reply.status === 'voting' || reply.status === 'sealed';
+      return participates && !isMember(record, nodes[index]!.nodeId);
     });
   }
 
-  /** The platform's compare-and-swap excludes a second new group. */
-  private async startAnew(
+  /** Writes the new group's record; the platform's compare-and-swap prevents a second new group. */
+  private async startNewGroup(
     record: PlacementRecord,
     chosen: readonly string[],
     floorMs: number,
@@ -113,7 +113,7 @@
     return next;
   }
 
-  private askStatus(nodeId: string): Promise<ReplicaReply | undefined> {
+  private requestStatus(nodeId: string): Promise<ReplicaReply | undefined> {
     const { client, timing } = this.options;
     return client.ask(nodeId, { type: 'status' }, timing.changeTimeoutMs);
   }
--- a/src/claims/group-service.ts
+++ b/src/claims/group-service.ts
@@ -1,4 +1,4 @@
-/** Answers other nodes' calls about claims: each goes to the local replica of its group. */
+/** Handles other nodes' claim calls: each goes to its group at this node. */
 import { Result } from 'true-myth';
 import type { PeerNetwork } from '../peer/peer-network.js';
 import {
@@ -9,7 +9,7 @@
 } from './claim-messages.js';
 import type { GroupDirectory } from './group-directory.js';
 
-/** Registers the handlers of all calls of the claims. */
+/** Registers the handlers of all claim calls. */
 export function serveGroups(network: PeerNetwork, directory: GroupDirectory): void {
   network.handle('claimReplica', validateReplicaCall, (_from, call) =>
     directory.open(call.group).server.answer(call),
@@ -18,7 +18,7 @@
     Promise.resolve(Result.ok(directory.open(request.group).server.findPage(request))),
   );
   network.handle('claimStage', validateStageRequest, (_from, request) => {
-    directory.open(request.group).server.keepPage(request);
+    directory.open(request.group).server.storePage(request);
     return Promise.resolve(Result.ok({}));
   });
   network.handle('claimRecords', validateRecordsRequest, (_from, request) =>
--- a/src/claims/placement-keeper.ts
+++ b/src/claims/placement-manager.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the placement of one replica group at a member: brings this node's replica up, changes
+ * Manages the placement of one replica group at a member: brings up this node's replica, changes
  * the epoch when members should change, and keeps the platform's record up to date.
  */
 import { groupName } from '../core/claim/claim-groups.js';
@@ -23,8 +23,8 @@
 import type { ReplicaTask } from './replica-task.js';
 import { pause } from '../kernel/pause.js';
 
-/** What the keeper needs. */
-export interface PlacementKeeperOptions {
+/** Dependencies of a {@link PlacementManager}. */
+export interface PlacementManagerOptions {
   readonly clock: Clock;
   readonly timing: ClaimTiming;
   readonly random: Random;
@@ -39,24 +39,24 @@
   readonly store: PlacementStore;
 }
 
-/** Interval of forgetting expired entries, in milliseconds. */
+/** Interval of discarding expired entries, in milliseconds. */
 const EXPIRE_INTERVAL_MS = 5_000;
 
-/** The placement keeper of one group at one node. */
-export class PlacementKeeper {
+/** Manages the placement of one group at one node. */
+export class PlacementManager {
   private readonly changer: EpochChanger;
   private readonly restarter: GroupRestarter;
   private readonly name: string;
   private stopped = false;
   private busy = false;
   private leaving = false;
-  private nextPlatformAt = 0;
+  private nextPlatformSyncAt = 0;
   private nextExpireAt = 0;
   private changeWantedSince: number | undefined;
   private unannouncedSince: number | undefined;
   private sealedSince: number | undefined;
 
-  constructor(private readonly options: PlacementKeeperOptions) {
+  constructor(private readonly options: PlacementManagerOptions) {
     this.name = groupName(options.group);
     this.changer = new EpochChanger(options);
     this.restarter = new GroupRestarter({ ...options, changer: this.changer });
@@ -67,7 +67,7 @@
     return this.options.replica.view.newestRecord;
   }
 
-  /** Takes in a record that somebody told about. */
+  /** Passes a reported placement record to the replica. */
   observe(record: PlacementRecord): void {
     this.options.replica.post({ type: 'observe', record });
   }
@@ -77,32 +77,32 @@
     this.stopped = true;
   }
 
-  /** Planned stop: moves this node's place in the group to others, within the drain limit. */
-  async handOver(): Promise<void> {
+  /** Planned stop: moves this node's place in the group to others, within the drain time. */
+  async transferPlace(): Promise<void> {
     const { clock, timing, replica } = this.options;
     this.leaving = true;
     replica.post({ type: 'withdraw' });
-    const end = clock.now() + timing.drainMs;
+    const deadline = clock.now() + timing.drainMs;
     await new Promise<void>((resolve) => {
-      const cancelLimit = clock.schedule(timing.drainMs, resolve);
-      void this.leaveGroup(end).then(() => {
-        cancelLimit();
+      const cancelTimeout = clock.schedule(timing.drainMs, resolve);
+      void this.leaveGroup(deadline).then(() => {
+        cancelTimeout();
         resolve();
       });
     });
   }
 
-  private async leaveGroup(end: number): Promise<void> {
+  private async leaveGroup(deadline: number): Promise<void> {
     const { clock, replica } = this.options;
-    while (replica.view.isMember && !this.stopped && clock.now() < end) {
+    while (replica.view.isMember && !this.stopped && clock.now() < deadline) {
       const chosen = chooseMembers(replica.view.record, this.options.candidates(), this.name);
       if (chosen.length === 0) return;
-      await this.changer.change(chosen, end);
+      await this.changer.change(chosen, deadline);
       if (replica.view.isMember) await pause(clock, 10 + this.options.random.next() * 40);
     }
   }
 
-  /** One step of the work for this group; a step that is still running takes its place. */
+  /** Runs one step of the work for this group, unless the previous step is still running. */
   async step(now: number): Promise<void> {
     if (this.busy || this.stopped) return;
     this.busy = true;
@@ -119,17 +119,17 @@
       this.nextExpireAt = now + EXPIRE_INTERVAL_MS;
       this.options.replica.post({ type: 'expire' });
     }
-    await this.readOthers();
-    if (now >= this.nextPlatformAt) {
-      this.nextPlatformAt = now + timing.platformMs * (0.75 + this.options.random.next() / 2);
-      await this.meetPlatform();
+    await this.readOtherTables();
+    if (now >= this.nextPlatformSyncAt) {
+      this.nextPlatformSyncAt = now + timing.platformMs * (0.75 + this.options.random.next() / 2);
+      await this.syncWithPlatform();
     }
-    await this.considerCompletion(now);
-    if (!this.leaving) await this.considerChange(now);
+    await this.completeOverdueChange(now);
+    if (!this.leaving) await this.changeMembersIfNeeded(now);
   }
 
-  /** A member whose epoch has not been announced in time completes the change itself. */
-  private async considerCompletion(now: number): Promise<void> {
+  /** Completes the change to this member's epoch when it has not been announced in time. */
+  private async completeOverdueChange(now: number): Promise<void> {
     const { replica, timing } = this.options;
     const { record, newestRecord } = replica.view;
     const isUnannounced = (record?.epoch ?? 0) > (newestRecord?.epoch ?? 0);
@@ -138,8 +138,8 @@
     if (now - this.unannouncedSince >= timing.takeOverMs) await this.changer.complete();
   }
 
-  /** Looks whether the group has lost its memory for good; for the first node of the fleet. */
-  async considerRestart(): Promise<void> {
+  /** Restarts the group if it has lost its memory for good; for the first node of the fleet. */
+  async restartIfLost(): Promise<void> {
     const record = this.record;
     if (record === undefined) return;
     const chosen = chooseMembers(undefined, this.options.candidates(), this.name);
@@ -147,8 +147,8 @@
     if (next !== undefined) this.observe(next);
   }
 
-  /** A recovering or pending replica reads the tables of the other members. */
-  private async readOthers(): Promise<void> {
+  /** Reads the other members' tables for a recovering or pending replica. */
+  private async readOtherTables(): Promise<void> {
     const { replica, client, timing } = this.options;
     const { members, request } = replica.pendingReads();
     const reads = members.map(async (nodeId) => {
@@ -158,8 +158,8 @@
     await Promise.all(reads);
   }
 
-  /** Reads the platform's record and brings the platform up to date. */
-  private async meetPlatform(): Promise<void> {
+  /** Reads the platform's record and replaces it when this node knows a newer one. */
+  private async syncWithPlatform(): Promise<void> {
     const { store, replica } = this.options;
     if (this.record !== undefined && !replica.view.isMember) return;
     const stored = await store.read();
@@ -183,16 +183,19 @@
     if (await store.write(record, 0)) await this.changer.establish([record]);
   }
 
-  /** Members change the epoch: the first one that answers at once, the others when it does not. */
-  private async considerChange(now: number): Promise<void> {
+  /**
+   * Changes the epoch when the members should change. The first responding member proposes the
+   * change; each other one waits `takeOverMs` longer, in case those before it do not.
+   */
+  private async changeMembersIfNeeded(now: number): Promise<void> {
     const { replica, timing } = this.options;
     const { record, status } = replica.view;
     this.sealedSince = status === 'sealed' ? (this.sealedSince ?? now) : undefined;
     if (record === undefined || (status !== 'voting' && status !== 'sealed')) return;
     const candidates = this.options.candidates();
     const chosen = chooseMembers(record, candidates, this.name);
-    const stuck = this.sealedSince !== undefined && canAgree(record, candidates);
-    const wanted = stuck || shouldChange(record, chosen, candidates);
+    const isStuck = this.sealedSince !== undefined && canAgree(record, candidates);
+    const wanted = isStuck || shouldChange(record, chosen, candidates);
     this.changeWantedSince = wanted ? (this.changeWantedSince ?? now) : undefined;
     if (this.changeWantedSince === undefined) return;
     const responding = respondingMembers(record, candidates);
--- a/src/claims/placement-store.ts
+++ b/src/claims/placement-store.ts
@@ -4,7 +4,7 @@
 import type { PlatformClient } from '../etcd/platform-client.js';
 import { validateLayout, validatePlacement } from './claim-messages.js';
 
-/** Prefix of all keys of the claims. */
+/** Prefix of all keys that claims use. */
 const CLAIMS_PREFIX = 'sillshore/claims/';
 
 /** Key of the number of groups; written once. */
@@ -17,13 +17,13 @@
 
 /** The stored record with the revision to compare with. */
 export interface StoredPlacement {
-  /** Absent when there is none, or none that can be read. */
+  /** Absent when there is none, or when the stored one is invalid. */
   readonly record?: PlacementRecord;
   /** 0 when the key does not exist. */
   readonly modRevision: number;
 }
 
-/** Everything that the platform knows of the claims. */
+/** All claim records that the platform stores. */
 export interface StoredClaims {
   /** Number of groups; absent before the first start of the fleet. */
   readonly groups?: number;
@@ -47,13 +47,13 @@
   return { records, ...(groups === undefined ? {} : { groups }) };
 }
 
-/** Writes the number of groups unless it is written already; the outcome is what is stored. */
+/** Writes the number of groups unless one is stored already; the stored number counts. */
 export async function createLayout(platform: PlatformClient, groups: number): Promise<void> {
   const value = JSON.stringify({ groups });
   await platform.transact([{ key: LAYOUT_KEY, modRevision: 0 }], [{ key: LAYOUT_KEY, value }]);
 }
 
-/** Reader and writer of one group's record. */
+/** Reads and writes one group's record. */
 export class PlacementStore {
   private readonly key: string;
 
--- a/src/claims/replica-client.ts
+++ b/src/claims/replica-client.ts
@@ -6,17 +6,17 @@
   ReplicaRequest,
 } from '../core/claim/replica-messages.js';
 import type { PeerNetwork } from '../peer/peer-network.js';
-import type { ReplicaAnswer, ReplicaCall } from './claim-messages.js';
+import type { ReplicaCallReply, ReplicaCall } from './claim-messages.js';
 import type { ReplicaTask } from './replica-task.js';
 import { DEFAULT_PAGE_BYTES, joinTables, splitTable } from './table-pages.js';
 
-/** Pages under way at once between two nodes. */
-const PAGES_AT_ONCE = 4;
+/** Maximum number of pages of one table that are in transit at once. */
+const MAX_CONCURRENT_PAGES = 4;
 
 /**
  * Handles the pages from `first` up to, not including, `end`, several at once.
  *
- * @returns whether all of them succeeded; after a failure no further one is begun
+ * @returns whether all of them succeeded; after a failure no further one is started
  */
 async function forEachPage(
   first: number,
@@ -25,14 +25,14 @@
 ): Promise<boolean> {
   let next = first;
   let succeeds = true;
-  const work = async (): Promise<void> => {
+  const worker = async (): Promise<void> => {
     while (succeeds && next < end) {
       const page = next;
       next += 1;
       if (!(await handle(page))) succeeds = false;
     }
   };
-  await Promise.all(Array.from({ length: PAGES_AT_ONCE }, work));
+  await Promise.all(Array.from({ length: MAX_CONCURRENT_PAGES }, worker));
   return succeeds;
 }
 
@@ -48,9 +48,9 @@
   ) {}
 
   /**
-   * Asks one replica; `undefined` when it cannot be reached or does not answer in time.
+   * Queries one replica; `undefined` when it cannot be reached or does not reply in time.
    *
-   * @param timeoutMs limit of each exchange; a large table takes one for each of its pages
+   * @param timeoutMs time limit of each exchange; a large table takes one exchange per page
    */
   async ask(
     nodeId: string,
@@ -68,9 +68,9 @@
   }
 
   /**
-   * Asks all members of a record and hands each reply on as it comes.
+   * Queries all members of a record and passes each reply to `onReply` as it arrives.
    *
-   * @returns resolves when every member has answered or timed out
+   * @returns resolves when every member has replied or timed out
    */
   async askAll(
     record: PlacementRecord,
@@ -78,13 +78,13 @@
     timeoutMs: number,
     onReply: (nodeId: string, reply: ReplicaReply | undefined) => void,
   ): Promise<void> {
-    const asks = record.members.map(async ({ nodeId }) => {
+    const requests = record.members.map(async ({ nodeId }) => {
       onReply(nodeId, await this.ask(nodeId, request, timeoutMs));
     });
-    await Promise.all(asks);
+    await Promise.all(requests);
   }
 
-  /** Sends all pages of a large table but the last one ahead. */
+  /** Sends all pages of a large table except the last one, before the request itself. */
   private async stage(
     nodeId: string,
     request: ReplicaRequest,
@@ -112,10 +112,10 @@
     return `${nodeId}#${incarnation}/${this.group}.${this.transfers}`;
   }
 
-  /** Fetches the pages of a table that did not fit; without all of them the reply does not count. */
+  /** Fetches the pages that did not fit into the reply; `undefined` unless all are received. */
   private async completeReply(
     nodeId: string,
-    { reply, rest }: ReplicaAnswer,
+    { reply, rest }: ReplicaCallReply,
     timeoutMs: number,
   ): Promise<ReplicaReply | undefined> {
     if (rest === undefined || (reply.type !== 'promised' && reply.type !== 'recovered')) {
--- a/src/claims/replica-delivery.test.ts
+++ b/src/claims/replica-delivery.test.ts
@@ -10,7 +10,7 @@
 const RELEASE = { type: 'release', key: 'k', attemptId: 'round-1' } as const;
 const STEP_MS = 50;
 
-/** Replicas that confirm as the test says, and what they were sent. */
+/** Replicas that confirm as the test decides, and that record what they were sent. */
 class Replicas {
   readonly clock = new ManualClock();
   readonly sent: string[] = [];
@@ -64,7 +64,7 @@
   assert.equal(replicas.delivery.size, 0);
 });
 
-test('a message is repeated to the member that did not confirm, however long that takes', async () => {
+test('a message is retried for the member that did not confirm, however long that takes', async () => {
   const replicas = new Replicas();
   replicas.confirms = (nodeId) => nodeId !== 'b';
   await replicas.delivery.deliver('k', RELEASE);
@@ -76,7 +76,7 @@
   assert.equal(replicas.delivery.size, 0);
 });
 
-test('an unfinished message is for all members of the next epoch', async () => {
+test('an unconfirmed message is sent to all members of the next epoch', async () => {
   const replicas = new Replicas();
   replicas.confirms = (nodeId, epoch) => epoch === 2 || nodeId !== 'b';
   await replicas.delivery.deliver('k', RELEASE);
@@ -86,7 +86,7 @@
   assert.equal(replicas.delivery.size, 0);
 });
 
-test('a message is given up after the time in which keys expire', async () => {
+test('a message is dropped after the time in which keys expire', async () => {
   const replicas = new Replicas();
   replicas.confirms = () => false;
   await replicas.delivery.deliver('k', RELEASE);
@@ -94,7 +94,7 @@
   assert.equal(replicas.delivery.size, 0);
 });
 
-test('a planned stop waits for messages under way, within its limit', async () => {
+test('a planned stop waits for pending messages, within its time limit', async () => {
   const replicas = new Replicas();
   replicas.confirms = () => replicas.clock.now() >= 400;
   await replicas.delivery.deliver('k', RELEASE);
--- a/src/claims/replica-task.ts
+++ b/src/claims/replica-task.ts
@@ -1,4 +1,4 @@
-/** The task that owns this node's claim replica; every access goes through its mailbox. */
+/** The task that owns this node's replica of a group; every access goes through its mailbox. */
 import { Result } from 'true-myth';
 import { ClaimReplica } from '../core/claim/claim-replica.js';
 import type { Incarnation, PlacementRecord } from '../core/claim/placement.js';
@@ -21,7 +21,7 @@
   | { readonly type: 'withdraw' }
   | { readonly type: 'expire' };
 
-/** Owner of the replica. */
+/** Owns the local claim replica of one group. */
 export class ReplicaTask extends Task<ReplicaTaskMessage> {
   private readonly replica: ClaimReplica;
 
@@ -64,7 +64,7 @@
   }
 
   protected handle(message: ReplicaTaskMessage): void {
-    const before = this.replica.status;
+    const previousStatus = this.replica.status;
     switch (message.type) {
       case 'request':
         message.reply(this.replica.handle(message.request, this.clock.wallNow()));
@@ -82,7 +82,7 @@
         this.replica.expire(this.clock.wallNow());
         break;
     }
-    if (this.replica.status !== before) this.logStatus();
+    if (this.replica.status !== previousStatus) this.logStatus();
   }
 
   private logStatus(): void {
--- a/src/claims/requester.ts
+++ b/src/claims/request-round.ts
@@ -1,4 +1,4 @@
-/** What the coordinators of claims and of charges share. */
+/** Request rounds to all members of a group, for the coordinators of claims and charges. */
 import type { PlacementRecord } from '../core/claim/placement.js';
 import type { ReplicaReply, ReplicaRequest } from '../core/claim/replica-messages.js';
 import type { Random } from '../core/random.js';
@@ -8,7 +8,7 @@
 import type { GroupAccess } from './group-access.js';
 import type { ReplicaDelivery } from './replica-delivery.js';
 
-/** What a requester needs. */
+/** Dependencies of a claim or charge requester. */
 export interface RequesterOptions {
   readonly clock: Clock;
   readonly log: EventLog;
@@ -26,8 +26,8 @@
 }
 
 /**
- * Sends a request to all members and resolves once `isSettled` says so, every member has
- * answered, the round's time is over or the deadline has come. Later replies are ignored.
+ * Sends a request to all members and resolves when `isSettled` returns true, every member has
+ * replied, or the round's time limit or the deadline has passed. Later replies are ignored.
  */
 export function settleRound(
   options: RequesterOptions,
--- a/src/claims/table-pages.test.ts
+++ b/src/claims/table-pages.test.ts
@@ -21,7 +21,7 @@
 }
 
 for (const entries of [0, 1, 300]) {
-  test(`a table of ${entries} entries survives its pages, none larger than asked for`, () => {
+  test(`a table of ${entries} entries is restored from its pages, none above the limit`, () => {
     const snapshot = createTable(entries).snapshot();
     const pages = splitTable(snapshot, PAGE_BYTES);
     assert.deepEqual(joinTables(pages), snapshot);
@@ -37,7 +37,7 @@
   assert.equal(splitTable(snapshot, 1).length, 8);
 });
 
-test('a transfer is taken whole or not at all, and is given up when old or crowded out', () => {
+test('a transfer is taken whole or not at all, and is dropped when too old or above the limit', () => {
   const clock = new ManualClock();
   const transfers = new TableTransfers(clock);
   const table = createTable(1).snapshot();
--- a/src/claims/table-pages.ts
+++ b/src/claims/table-pages.ts
@@ -1,8 +1,8 @@
-/** Tables in pages of bounded size, so that a full table needs no large frame. */
+/** Splits tables into pages of bounded size, so that a full table needs no large frame. */
 import type { BudgetEntry } from '../core/claim/attempt-budgets.js';
 import type { ClaimEntry, TableSnapshot } from '../core/claim/claim-table.js';
 
-/** Size of a page, in bytes as estimated here; a single entry may be larger (an answer of 64 KB). */
+/** Largest page, in bytes as estimated here; a single entry may be larger (an answer of 64 KB). */
 export const DEFAULT_PAGE_BYTES = 262_144;
 
 /** Bytes counted per entry for field names, numbers and its place in an array. */
@@ -27,8 +27,12 @@
   return ENTRY_OVERHEAD_BYTES + sizeOfTexts([entry.key, ...entry.slots]);
 }
 
-/** Cuts entries into runs of at most `maxBytes`, an entry at least. */
-function cut<T>(entries: readonly T[], sizeOf: (entry: T) => number, maxBytes: number): T[][] {
+/** Splits entries into runs of at most `maxBytes`, but at least one entry. */
+function splitEntries<T>(
+  entries: readonly T[],
+  sizeOf: (entry: T) => number,
+  maxBytes: number,
+): T[][] {
   const runs: T[][] = [];
   let bytes = Number.POSITIVE_INFINITY;
   for (const entry of entries) {
@@ -43,19 +47,19 @@
   return runs;
 }
 
-/** Cuts a table into pages; at least one. */
+/** Splits a table into pages; at least one. */
 export function splitTable(
   { claims, budgets }: TableSnapshot,
   maxBytes = DEFAULT_PAGE_BYTES,
 ): readonly TableSnapshot[] {
   const pages: TableSnapshot[] = [
-    ...cut(claims, sizeOfClaim, maxBytes).map((run) => ({ claims: run, budgets: [] })),
-    ...cut(budgets, sizeOfBudget, maxBytes).map((run) => ({ claims: [], budgets: run })),
+    ...splitEntries(claims, sizeOfClaim, maxBytes).map((run) => ({ claims: run, budgets: [] })),
+    ...splitEntries(budgets, sizeOfBudget, maxBytes).map((run) => ({ claims: [], budgets: run })),
   ];
   return pages.length === 0 ? [{ claims: [], budgets: [] }] : pages;
 }
 
-/** Puts the pages of one table together. */
+/** Joins the pages of one table. */
 export function joinTables(pages: readonly TableSnapshot[]): TableSnapshot {
   return {
     claims: pages.flatMap((page) => page.claims),
--- a/src/claims/table-transfers.ts
+++ b/src/claims/table-transfers.ts
@@ -1,19 +1,19 @@
-/** Tables under way in pages: those that others read here, and those that others bring. */
+/** Tables transferred in pages: those that other nodes fetch here, and those that they send. */
 import type { TableSnapshot } from '../core/claim/claim-table.js';
 import type { Clock } from '../kernel/clock.js';
 
-/** Transfers kept at most in each direction; the oldest are given up first. */
+/** Maximum number of transfers kept in each direction; the oldest are dropped first. */
 const MAX_TRANSFERS = 8;
 
 /** Time for which a transfer is kept, in milliseconds. */
-const TRANSFER_LIMIT_MS = 30_000;
+const TRANSFER_RETENTION_MS = 30_000;
 
 interface Transfer {
   readonly pages: Map<number, TableSnapshot>;
   readonly startedAt: number;
 }
 
-/** Names a table whose pages are fetched or were brought one by one. */
+/** Identifies a table whose pages are fetched or were sent one by one. */
 export interface TransferRef {
   readonly transferId: string;
   /** Number of pages; they are numbered from 0. */
@@ -26,14 +26,14 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Transfers kept now. */
+  /** Number of transfers kept. */
   get size(): number {
     return this.transfers.size;
   }
 
-  /** Keeps a page. */
+  /** Stores a page. */
   put(transferId: string, page: number, table: TableSnapshot): void {
-    this.forgetOld();
+    this.discardExpired();
     const known = this.transfers.get(transferId);
     const transfer = known ?? { pages: new Map(), startedAt: this.clock.now() };
     transfer.pages.set(page, table);
@@ -47,7 +47,7 @@
     return this.transfers.get(transferId)?.pages.get(page);
   }
 
-  /** Removes a transfer and returns its pages in order; `undefined` unless all are there. */
+  /** Removes a transfer and returns its pages in order; `undefined` unless all are present. */
   take({ transferId, pages }: TransferRef): readonly TableSnapshot[] | undefined {
     const transfer = this.transfers.get(transferId);
     this.transfers.delete(transferId);
@@ -56,8 +56,8 @@
     return found.every((table) => table !== undefined) ? found : undefined;
   }
 
-  private forgetOld(): void {
-    const limit = this.clock.now() - TRANSFER_LIMIT_MS;
+  private discardExpired(): void {
+    const limit = this.clock.now() - TRANSFER_RETENTION_MS;
     for (const [transferId, { startedAt }] of this.transfers) {
       if (startedAt <= limit) this.transfers.delete(transferId);
     }
