--- a/src/peer/frame-codec.ts
+++ b/src/peer/frame-codec.ts
@@ -18,7 +18,7 @@
   /** Name of the call, or of the node in a hello. */
   readonly name?: string;
   readonly body?: unknown;
-  /** In a reply that is an error. */
+  /** Present in a reply that is an error. */
   readonly failure?: Failure;
 }
 
@@ -33,17 +33,17 @@
 const EXECUTIONS: ReadonlySet<unknown> = new Set(['not-run', 'run', 'unknown']);
 const DESERIALIZE_OPTIONS = { promoteBuffers: true };
 
-/** Room in the codec's buffer beyond the largest frame, so that an overrun is noticed. */
+/** Space in the codec's buffer beyond the largest frame, so that an overrun is detected. */
 const OVERRUN_BYTES = 65_536;
 
-/** Makes the codec's buffer, one per process, large enough for a limit. Call before encoding. */
+/** Sizes the codec's buffer, one per process, for a frame limit. Call before encoding. */
 export function reserveCodecBuffer(maxFrameBytes: number): void {
   setInternalBufferSize(maxFrameBytes + OVERRUN_BYTES);
 }
 
 /**
  * Encodes a frame. The codec's buffer is larger than the limit, so a message that is too
- * large is found by its length or by the codec's range error.
+ * large is detected by its length or by the codec's range error.
  */
 export function encodeFrame(envelope: Envelope, maxFrameBytes: number): Result<Buffer, Failure> {
   try {
@@ -68,8 +68,8 @@
   }
   const { t, id, name, body, failure } = value;
   if (!FRAME_TYPES.has(t)) return malformed('unknown frame type');
-  if (!Number.isSafeInteger(id) || (id as number) < 0) return malformed('bad correlation id');
-  if (name !== undefined && typeof name !== 'string') return malformed('bad name');
+  if (!Number.isSafeInteger(id) || (id as number) < 0) return malformed('invalid correlation id');
+  if (name !== undefined && typeof name !== 'string') return malformed('invalid name');
   return Result.ok({
     t: t as FrameType,
     id: id as number,
@@ -94,5 +94,7 @@
 }
 
 function tooLarge(maxFrameBytes: number): Result<never, Failure> {
-  return Result.err(createFailure(ResultCode.FrameTooLarge, `message over ${maxFrameBytes} bytes`));
+  return Result.err(
+    createFailure(ResultCode.FrameTooLarge, `message larger than ${maxFrameBytes} bytes`),
+  );
 }
--- a/src/peer/frame-reader.test.ts
+++ b/src/peer/frame-reader.test.ts
@@ -47,7 +47,7 @@
   }
 }
 
-test('the reader stops when the listener says so', () => {
+test('the reader stops when the listener returns false', () => {
   const reader = new FrameReader(1_000);
   let count = 0;
   reader.read(STREAM, () => {
--- a/src/peer/frame-reader.ts
+++ b/src/peer/frame-reader.ts
@@ -8,11 +8,11 @@
 /** Smallest BSON document: the length field and the closing zero byte. */
 const MIN_FRAME_BYTES = 5;
 
-/** Takes a whole frame; false stops the reader (the link has been closed). */
+/** Receives a whole frame; returns false to stop the reader (the link has been closed). */
 export type FrameListener = (frame: Buffer) => boolean;
 
 /**
- * Incremental frame splitter. A frame that lies within one chunk is handed on without a
+ * Incremental frame splitter. A frame that lies within one chunk is passed on without a
  * copy; one that spans chunks is collected in a buffer of its exact size.
  */
 export class FrameReader {
@@ -88,7 +88,7 @@
 
   private checkLength(length: number): Failure | undefined {
     if (length < MIN_FRAME_BYTES) {
-      return createFailure(ResultCode.FrameMalformed, `frame length ${length}`);
+      return createFailure(ResultCode.FrameMalformed, `invalid frame length ${length}`);
     }
     if (length > this.maxFrameBytes) {
       const detail = `frame of ${length} bytes, limit ${this.maxFrameBytes}`;
--- a/src/peer/handler-registry.ts
+++ b/src/peer/handler-registry.ts
@@ -20,13 +20,13 @@
 export class HandlerRegistry {
   private readonly registrations = new Map<string, Registration>();
 
-  /** Registers a handler; a second one of a name is a defect. */
+  /** Registers a handler; throws when the name already has one. */
   register<K extends PeerCallName>(
     name: K,
     validate: BodyValidator<never>,
     handler: PeerCallHandler<K>,
   ): void {
-    if (this.registrations.has(name)) throw new Error(`call ${name} has two handlers`);
+    if (this.registrations.has(name)) throw new Error(`call ${name} already has a handler`);
     this.registrations.set(name, {
       validate,
       handler: handler as unknown as AnyHandler,
--- a/src/peer/handshake.ts
+++ b/src/peer/handshake.ts
@@ -6,7 +6,7 @@
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 import type { Envelope } from './frame-codec.js';
 
-/** Version of the peer protocol; nodes of different versions refuse each other. */
+/** Version of the peer protocol; nodes of different versions reject each other. */
 export const PEER_PROTOCOL_VERSION = 1;
 
 /** Largest frame before the peer has proved that it has the key, in bytes. */
@@ -19,7 +19,7 @@
 /** Side of a link: the client opened the connection. */
 export type LinkRole = 'client' | 'server';
 
-/** What both proofs cover. */
+/** Input of both proofs. */
 export interface HandshakeContext {
   readonly clientNode: string;
   readonly serverNode: string;
@@ -31,13 +31,13 @@
 export interface Hello {
   readonly node: string;
   readonly nonce: Buffer;
-  /** Node that the client wants; only from the client. */
+  /** Node that the client wants to reach; only from the client. */
   readonly to?: string;
   /** Only from the server, which has both nonces already. */
   readonly proof?: Buffer;
 }
 
-/** Creates a fresh challenge. */
+/** Creates a random challenge. */
 export function createNonce(): Buffer {
   return randomBytes(NONCE_BYTES);
 }
--- a/src/peer/incoming-link.ts
+++ b/src/peer/incoming-link.ts
@@ -16,14 +16,14 @@
 } from './handshake.js';
 import { PeerLink, type LinkOptions } from './peer-link.js';
 
-/** Messages of the handlers and the network to an incoming link. */
+/** Messages from the handlers and the network to an incoming link. */
 export type IncomingCommand =
   | {
       readonly type: 'finished';
       readonly id: number;
       readonly result: Result<unknown, Failure>;
     }
-  /** Planned stop: take no more calls, end those that run. */
+  /** Planned stop: accept no more calls, complete those that run. */
   | { readonly type: 'retire' };
 
 /** Options of an incoming link. */
@@ -82,7 +82,7 @@
     this.linkOptions.onEnd(this);
   }
 
-  /** The peer closes the link when it has the replies to the calls up to the last one. */
+  /** Announces the last handled call; the peer closes the link when it has the replies up to it. */
   private retire(): void {
     if (!this.isOpen) {
       this.end('node stops');
@@ -96,7 +96,7 @@
     const { node, sharedKey } = this.linkOptions;
     const hello = readHello(envelope);
     if (hello === undefined) {
-      this.rejectPeer('another protocol');
+      this.rejectPeer('no valid hello of this protocol version');
       return;
     }
     this.context = {
@@ -119,7 +119,7 @@
 
   private onCall({ id, name, body }: Envelope): boolean {
     if (id <= this.lastId || name === undefined) return false;
-    // Sent before the peer read the goaway, which tells it that this call is not handled.
+    // The peer sent this before it read the goaway, by which it knows that the call is not handled.
     if (this.retiring) return true;
     this.lastId = id;
     if (this.running.size >= this.options.limits.maxInFlight) {
--- a/src/peer/key-rotation.test.ts
+++ b/src/peer/key-rotation.test.ts
@@ -58,7 +58,7 @@
   return reply.isErr ? reply.error.code : ResultCode.Ok;
 }
 
-/** The caller sends its call with its own proof once it has accepted the server's. */
+/** A caller that accepts the server's proof sends its call at once, so a refusal is `PeerLost`. */
 function refusalOf(from: Keys, to: Keys): ResultCode {
   const acceptsServer = [from.sharedKey, ...from.previousSharedKeys].includes(to.sharedKey);
   return acceptsServer ? ResultCode.PeerLost : ResultCode.PeerUnreachable;
@@ -79,11 +79,11 @@
 
 for (const [step, from] of STEPS.entries()) {
   for (const [otherStep, to] of STEPS.entries()) {
-    const talks = Math.abs(step - otherStep) <= 1;
-    const verb = talks ? 'reaches' : 'does not reach';
+    const isAccepted = Math.abs(step - otherStep) <= 1;
+    const verb = isAccepted ? 'reaches' : 'does not reach';
     test(`a node at step ${step} ${verb} one at step ${otherStep}`, async (context) => {
       const code = await callOver(context, from, to);
-      assert.equal(ResultCode[code], ResultCode[talks ? ResultCode.Ok : refusalOf(from, to)]);
+      assert.equal(ResultCode[code], ResultCode[isAccepted ? ResultCode.Ok : refusalOf(from, to)]);
       const datagram = createCodec(from).encode(GOSSIP);
       const acceptedHere = [to.sharedKey, ...to.previousSharedKeys].includes(from.sharedKey);
       assert.equal(createCodec(to).decode(datagram) !== undefined, acceptedHere);
--- a/src/peer/local-call.ts
+++ b/src/peer/local-call.ts
@@ -1,4 +1,4 @@
-/** A node's call to itself: the same handlers and limits of time, without a socket. */
+/** A node's call to itself: the same handlers and time limits, without a socket. */
 import { Result } from 'true-myth';
 import { createFailure, type Failure } from '../core/failure.js';
 import { ResultCode } from '../core/result-code.js';
@@ -14,7 +14,7 @@
   readonly signal: AbortSignal | undefined;
 }
 
-/** Runs the handler of a call at this node; ends early when the time is over or on abort. */
+/** Runs the handler of a call at this node; ends early on timeout or abort. */
 export function callLocally(
   handlers: HandlerRegistry,
   clock: Clock,
@@ -23,7 +23,7 @@
   return new Promise((resolve) => {
     const controller = new AbortController();
     const giveUp = (code: ResultCode): void => {
-      resolve(Result.err(createFailure(code, `${name} at this node`)));
+      resolve(Result.err(createFailure(code, `local call ${name} did not complete`)));
       controller.abort();
     };
     const onAbort = (): void => {
--- a/src/peer/messages.ts
+++ b/src/peer/messages.ts
@@ -8,7 +8,7 @@
 import type { ClaimCalls } from '../claims/claim-messages.js';
 import type { MembershipCalls } from '../membership/membership-calls.js';
 
-/** An attempt for a target of the receiving node. Durations instead of times: clocks differ. */
+/** An attempt for a target of the receiving node. Times are durations, because clocks differ. */
 export interface AttemptMessage {
   readonly attemptId: string;
   readonly target: string;
@@ -29,7 +29,7 @@
   readonly body: Uint8Array;
 }
 
-/** The end of an attempt. */
+/** The outcome of an attempt. */
 export interface AttemptReply {
   readonly outcome: AttemptOutcome;
   readonly attemptsUsed: number;
@@ -40,7 +40,7 @@
     readonly headers: HeaderFields;
     readonly body: Uint8Array;
   };
-  /** Present otherwise. */
+  /** Present when the target did not answer completely. */
   readonly failure?: {
     readonly code: number;
     readonly detail: string;
@@ -49,13 +49,13 @@
   };
 }
 
-/** Asks a peer for rules revisions newer than a version. */
+/** Requests rules revisions newer than a version from a peer. */
 export interface ConfigFetchMessage {
-  /** Highest global version that the asker has. */
+  /** Highest global version that the requesting node has. */
   readonly after: number;
 }
 
-/** Rules revisions newer than asked for; the newest per tenant is enough. */
+/** Rules revisions newer than the requested version; the newest per tenant is enough. */
 export interface ConfigFetchReply {
   readonly records: readonly RevisionRecord[];
   /** Global version of the answering node. */
--- a/src/peer/outgoing-link.ts
+++ b/src/peer/outgoing-link.ts
@@ -1,4 +1,4 @@
-/** The calling end of a link: connects, proves itself, sends calls and matches their replies. */
+/** The calling end of a link: connects, authenticates, sends calls and matches their replies. */
 import { Result } from 'true-myth';
 import { splitAddress } from '../core/host-and-port.js';
 import { createFailure, type Failure } from '../core/failure.js';
@@ -26,7 +26,7 @@
   readonly resolve: (result: Result<unknown, Failure>) => void;
 }
 
-/** Messages of the network to an outgoing link. */
+/** Messages from the network, timers and abort signals to an outgoing link. */
 export type OutgoingCommand =
   | { readonly type: 'call'; readonly call: OutgoingCall }
   | { readonly type: 'expire'; readonly id: number }
@@ -43,9 +43,9 @@
 export interface OutgoingLinkOptions extends LinkOptions {
   readonly peer: string;
   readonly address: string;
-  /** The peer takes no more calls on this link. */
+  /** Called when the peer accepts no more calls on this link. */
   readonly onRetire: (link: OutgoingLink) => void;
-  /** Called once when the link has ended; `wasOpen` tells whether it ever worked. */
+  /** Called once when the link has ended; `wasOpen`: whether the peer was ever authenticated. */
   readonly onEnd: (link: OutgoingLink, wasOpen: boolean) => void;
 }
 
@@ -74,7 +74,9 @@
     const { node, peer, sharedKey } = this.linkOptions;
     const hello = readHello(envelope);
     if (hello?.node !== peer) {
-      this.rejectPeer(`expected ${peer}, found ${hello?.node ?? 'another protocol'}`);
+      this.rejectPeer(
+        `expected ${peer}, found ${hello?.node ?? 'no valid hello of this protocol version'}`,
+      );
       return;
     }
     const context = {
@@ -127,11 +129,14 @@
     this.linkOptions.onEnd(this, this.peerNode !== undefined);
   }
 
-  /** The peer stops as planned: calls after the last one that it took were not handled. */
+  /** Planned stop of the peer: calls after the last one that it accepted were not handled. */
   private retire(lastHandled: number): void {
     this.retiring = true;
     this.linkOptions.onRetire(this);
-    const failure = createFailure(ResultCode.PeerUnreachable, `${this.linkOptions.peer} stops`);
+    const failure = createFailure(
+      ResultCode.PeerUnreachable,
+      `${this.linkOptions.peer} is stopping`,
+    );
     for (const id of [...this.pending.keys()]) {
       if (id > lastHandled) this.settle(id, Result.err(failure));
     }
@@ -172,7 +177,7 @@
     entry.sent = true;
   }
 
-  /** Ends a call from this side; the peer is told, so that it stops working on it. */
+  /** Ends a call at this node and notifies the peer, so that it stops working on it. */
   private giveUp(id: number, code: ResultCode, detail: string): void {
     const entry = this.pending.get(id);
     if (entry === undefined) return;
--- a/src/peer/peer-link.ts
+++ b/src/peer/peer-link.ts
@@ -1,4 +1,4 @@
-/** What both ends of a link share: the socket, framing, limits and the end of the link. */
+/** Base of both ends of a link: the socket, framing, limits and the end of the link. */
 import type { Socket } from 'node:net';
 import { TLSSocket } from 'node:tls';
 import { Result } from 'true-myth';
@@ -17,7 +17,7 @@
 /** Time for the whole handshake, connecting included, in milliseconds. */
 export const HANDSHAKE_TIMEOUT_MS = 3_000;
 
-/** Silence after which TCP probes the other machine, in milliseconds. */
+/** Idle time after which TCP sends keep-alive probes, in milliseconds. */
 const KEEP_ALIVE_DELAY_MS = 30_000;
 
 /** Limits of a link; see `Settings.limits`. */
@@ -29,7 +29,7 @@
   readonly maxWriteBacklogBytes: number;
 }
 
-/** What every link is made from. */
+/** Options that both ends of a link share. */
 export interface LinkOptions {
   /** This node. */
   readonly node: string;
@@ -45,7 +45,7 @@
   readonly traffic?: TrafficMeter;
 }
 
-/** What the socket tells its link. */
+/** Messages from the socket, the handshake timer and the network to a link. */
 export type SocketMessage =
   | { readonly type: 'socket-connected' }
   | { readonly type: 'socket-data'; readonly chunk: Buffer }
@@ -139,12 +139,12 @@
   protected abstract onHandshakeFrame(envelope: Envelope): void;
   /** A frame of an authenticated peer; false when it breaks the protocol. */
   protected abstract onFrame(envelope: Envelope): boolean;
-  /** A message from outside. */
+  /** A message that is specific to this end of the link. */
   protected abstract onCommand(command: Command): void;
   /** The link has ended; called once. */
   protected abstract onEnd(detail: string): void;
 
-  /** Takes the peer as authenticated and lifts the limit on frames. */
+  /** Marks the peer as authenticated and raises the limit on frames. */
   protected acceptPeer(node: string): void {
     this.peerNode = node;
     this.reader.maxFrameBytes = this.options.limits.maxFrameBytes;
@@ -172,7 +172,12 @@
     if (frame.isErr) return Result.err(frame.error);
     const backlog = this.socket.writableLength + frame.value.length;
     if (backlog > this.options.limits.maxWriteBacklogBytes) {
-      return Result.err(createFailure(ResultCode.MailboxFull, `${backlog} bytes wait on the link`));
+      return Result.err(
+        createFailure(
+          ResultCode.MailboxFull,
+          `write backlog of ${backlog} bytes would exceed the limit`,
+        ),
+      );
     }
     this.socket.write(frame.value);
     this.options.traffic?.count('tcp', 'sent', frame.value.length);
@@ -180,7 +185,7 @@
     return Result.ok(undefined);
   }
 
-  /** Ends the link and destroys its socket; harmless when repeated. */
+  /** Ends the link and destroys its socket; does nothing when the link has ended. */
   protected end(detail: string): void {
     if (this.ended) return;
     this.ended = true;
--- a/src/peer/peer-network.test.ts
+++ b/src/peer/peer-network.test.ts
@@ -105,7 +105,7 @@
   readonly handler: Handler;
 }
 
-/** A handler that tells when it has been entered and aborted, and answers only when aborted. */
+/** A handler that signals when it is entered and aborted, and replies only when aborted. */
 function createWaitingHandler(): Signalled {
   const state = { enter: (): void => {}, abort: (): void => {} };
   const entered = new Promise<void>((resolve) => (state.enter = resolve));
@@ -129,7 +129,7 @@
     const result = await fetch(caller, 7);
     assert.deepEqual(result.unwrapOr(undefined as never), { records: [], version: 7 });
   },
-  'the handler learns who called': async ({ caller, server }) => {
+  'the handler receives the name of the caller': async ({ caller, server }) => {
     const callers: string[] = [];
     serve(server, (request, signal, from) => {
       callers.push(from);
@@ -157,7 +157,7 @@
     );
     assert.deepEqual(versions, [1, 2, 3]);
   },
-  'a failure of the handler arrives as it is': async ({ caller, server }) => {
+  'a failure of the handler arrives unchanged': async ({ caller, server }) => {
     const failure = createFailure(ResultCode.NotReady, 'later', { retryAfterMs: 20 });
     serve(server, () => Promise.resolve(Result.err(failure)));
     const result = await fetch(caller, 1);
@@ -182,13 +182,13 @@
     assert.equal(codeOf(result), ResultCode.PeerUnreachable);
     assert.equal(result.isErr && result.error.execution, 'not-run');
   },
-  'a forgotten address makes the node unreachable': async ({ caller, server }) => {
+  'a removed address makes the node unreachable': async ({ caller, server }) => {
     serve(server, echo);
     assert.equal(codeOf(await fetch(caller, 1)), ResultCode.Ok);
     caller.setAddress('server', undefined);
     assert.equal(codeOf(await fetch(caller, 1)), ResultCode.PeerUnreachable);
   },
-  'no reply in time is a timeout of unknown execution, and the handler is told': async ({
+  'no reply in time is a timeout of unknown execution, and the handler is aborted': async ({
     caller,
     server,
     clock,
@@ -204,13 +204,13 @@
     await aborted;
   },
   'a late reply is dropped and later calls get their own': async ({ caller, server, clock }) => {
-    let answerLate = (): void => {};
+    let replyLate = (): void => {};
     let markEntered = (): void => {};
     const entered = new Promise<void>((resolve) => (markEntered = resolve));
     serve(server, async (request, signal, from) => {
       if (request.after === 1) {
         await new Promise<void>((resolve) => {
-          answerLate = resolve;
+          replyLate = resolve;
           markEntered();
         });
       }
@@ -220,7 +220,7 @@
     await entered;
     clock.advance(1_000);
     assert.equal(codeOf(await first), ResultCode.PeerTimeout);
-    answerLate();
+    replyLate();
     for (const after of [2, 3]) {
       const result = await fetch(caller, after);
       assert.equal(result.unwrapOr(undefined as never).version, after);
@@ -253,7 +253,7 @@
     const result = await fetch(caller, 5, { node: 'caller' });
     assert.equal(result.unwrapOr(undefined as never).version, 5);
   },
-  'a second handler of a name is a defect': ({ server }) => {
+  'a second handler for a name throws': ({ server }) => {
     serve(server, echo);
     assert.throws(() => {
       serve(server, echo);
--- a/src/peer/peer-network.ts
+++ b/src/peer/peer-network.ts
@@ -1,4 +1,4 @@
-/** Calls between nodes. The transport hides behind this interface; tests use one in memory. */
+/** Interface of calls between nodes, independent of the transport; tests use one in memory. */
 import type { Result } from 'true-myth';
 import type { Failure } from '../core/failure.js';
 import type { PeerCallName, PeerCalls } from './messages.js';
@@ -9,7 +9,7 @@
   readonly signal?: AbortSignal;
 }
 
-/** Checks a received body; a failure is answered to the sender and the link stays up. */
+/** Checks a received body; a failure is returned to the sender and the link stays up. */
 export type BodyValidator<T> = (body: unknown) => Result<T, Failure>;
 
 /** Handles one received call; never rejects. */
@@ -22,7 +22,7 @@
 /** Multiplexed, authenticated calls between nodes. */
 export interface PeerNetwork {
   /**
-   * Calls a node by name; the address comes from the address book that membership fills.
+   * Calls a node by name; membership sets its address with {@link PeerNetwork.setAddress}.
    *
    * Failures: `PeerUnreachable` (not sent), `PeerLost`, `PeerTimeout` (may have been handled),
    * `MailboxFull` (not sent), or the handler's own failure.
@@ -33,12 +33,12 @@
     request: PeerCalls[K]['request'],
     options: PeerCallOptions,
   ): Promise<Result<PeerCalls[K]['reply'], Failure>>;
-  /** Registers the handler of a call; one handler a name. */
+  /** Registers the handler of a call; one handler per name. */
   handle<K extends PeerCallName>(
     name: K,
     validate: BodyValidator<PeerCalls[K]['request']>,
     handler: PeerCallHandler<K>,
   ): void;
-  /** Tells where a node listens, `host:port`; undefined forgets it and closes its link. */
+  /** Sets where a node listens, `host:port`; undefined removes the address and closes the link. */
   setAddress(node: string, address: string | undefined): void;
 }
--- a/src/peer/peer-plugin.ts
+++ b/src/peer/peer-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in: the links to the other nodes. */
+/** Peer plug-in: binds `Token.PeerNetwork`, the links to the other nodes. */
 import { combineHashes, hash32 } from '../core/hash.js';
 import { createRandom } from '../core/random.js';
 import { registerPlugin, StartOrder } from '../kernel/plugin.js';
--- a/src/peer/tcp-peer-authentication.test.ts
+++ b/src/peer/tcp-peer-authentication.test.ts
@@ -1,4 +1,4 @@
-/** Strangers, foreign bytes and wrong keys on the port of the links. */
+/** Unauthenticated clients, malformed bytes and wrong keys on the port of the links. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { createServer, type AddressInfo, type Server } from 'node:net';
@@ -68,7 +68,7 @@
 };
 
 for (const [name, { bytes, event, code }] of Object.entries(BEFORE_AUTHENTICATION)) {
-  test(`${name} from a stranger closes its link and disturbs nobody`, async (context) => {
+  test(`${name} from an unauthenticated client closes only its own link`, async (context) => {
     const clock = new ManualClock();
     const caller = await startNode(context, 'node-a', { clock });
     const server = await startNode(context, 'node-b', { clock });
@@ -89,7 +89,7 @@
 
 const AFTER_AUTHENTICATION: Record<string, { bytes: Buffer; code: ResultCode }> = {
   'a frame above the limit': { bytes: oversized, code: ResultCode.FrameTooLarge },
-  'a reply that nobody asked for': {
+  'a reply without a call': {
     bytes: encode({ t: 'reply', id: 1, body: {} }),
     code: ResultCode.FrameMalformed,
   },
@@ -117,7 +117,7 @@
   });
 }
 
-test('a silent stranger is closed when the handshake takes too long', async (context) => {
+test('a client that sends nothing is closed when the handshake takes too long', async (context) => {
   const server = await startNode(context, 'node-b');
   const raw = openRaw(context, server);
   await once(raw.socket, 'connect');
@@ -127,7 +127,7 @@
   await server.log.waitFor(Event.PeerRejected);
 });
 
-test('nodes with different keys refuse each other before any call is sent', async (context) => {
+test('nodes with different keys reject each other before any call is sent', async (context) => {
   const caller = await startNode(context, 'node-a');
   const server = await startNode(context, 'node-b', { sharedKey: 'another shared key' });
   serveEcho(server);
@@ -136,7 +136,7 @@
   await caller.log.waitFor(Event.PeerRejected);
 });
 
-test('another node under the address is refused', async (context) => {
+test('another node at the address is rejected', async (context) => {
   const caller = await startNode(context, 'node-a');
   const server = await startNode(context, 'node-c');
   caller.network.setAddress('node-b', server.network.localAddress);
@@ -144,7 +144,7 @@
   await caller.log.waitFor(Event.PeerRejected);
 });
 
-/** A server without the key that sends back what it can get. */
+/** Starts a server without the key that sends back its input or a fixed answer. */
 async function startReflector(context: TestContext, answer: Buffer | 'echo'): Promise<Server> {
   const server = createServer((socket) => {
     socket.on('error', () => {});
--- a/src/peer/tcp-peer-network.test.ts
+++ b/src/peer/tcp-peer-network.test.ts
@@ -1,4 +1,4 @@
-/** What only the TCP transport has: the handshake, limits and the life of connections. */
+/** What only the TCP transport has: limits, and how links open, stay idle and close. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Result } from 'true-myth';
@@ -13,7 +13,7 @@
   fetchCode,
 } from '../../test/support/tcp-peer-nodes.js';
 
-test('a message above the frame limit is refused here and the link stays up', async (context) => {
+test('a message above the frame limit is refused by the sender and the link stays up', async (context) => {
   const caller = await startNode(context, 'node-a');
   const server = await startNode(context, 'node-b');
   serveEcho(server);
@@ -25,7 +25,7 @@
   assert.equal(await fetchCode(caller, 'node-b'), ResultCode.Ok);
 });
 
-test('calls in flight have a bound, and end as lost when the link goes', async (context) => {
+test('calls in flight are limited, and end with PeerLost when the link closes', async (context) => {
   const caller = await startNode(context, 'node-a', { maxInFlight: 2 });
   const server = await startNode(context, 'node-b');
   let entered = 0;
@@ -48,7 +48,7 @@
   assert.deepEqual(await Promise.all(calls), [ResultCode.PeerLost, ResultCode.PeerLost]);
 });
 
-test('a refused connection is tried again only after a pause', async (context) => {
+test('a refused connection is retried only after a pause', async (context) => {
   const caller = await startNode(context, 'node-a');
   const server = await startNode(context, 'node-b');
   serveEcho(server);
@@ -80,7 +80,7 @@
   assert.equal(await fetchCode(caller, 'node-b'), ResultCode.Ok);
 });
 
-test('a planned stop ends what runs and tells which calls were not handled', async (context) => {
+test('a planned stop completes running calls and reports which calls were not handled', async (context) => {
   const caller = await startNode(context, 'node-a');
   const server = await startNode(context, 'node-b');
   const handled: number[] = [];
@@ -101,7 +101,7 @@
   const running = fetchCode(caller, 'node-b', 1);
   await entered;
   const retired = server.network.retire();
-  // On its way before the caller can have read that the node stops.
+  // Sent before the caller can have read the goaway.
   const crossing = await caller.network.call(
     'node-b',
     'configFetch',
--- a/src/peer/tcp-peer-network.ts
+++ b/src/peer/tcp-peer-network.ts
@@ -22,7 +22,7 @@
 } from './peer-network.js';
 import { TlsAcceptor } from './tls-acceptor.js';
 
-/** Silence after which the calling side closes a link, in milliseconds. */
+/** Idle time after which the calling side closes a link, in milliseconds. */
 export const IDLE_CLOSE_MS = 60_000;
 /** The serving side waits longer, so that it never closes a link that is about to be used. */
 const SERVER_IDLE_CLOSE_MS = 3 * IDLE_CLOSE_MS;
@@ -30,10 +30,10 @@
 const MIN_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 2_000;
 /** Connections that may be in their handshake at once; more are closed unread. */
-const MAX_UNAUTHENTICATED = 512;
+const MAX_UNAUTHENTICATED_CONNECTIONS = 512;
 
 /** Longest wait for calls in progress at a planned stop, in milliseconds. */
-const RETIRE_LIMIT_MS = 2_000;
+const RETIRE_TIMEOUT_MS = 2_000;
 
 /** Options of a network. */
 export interface TcpPeerNetworkOptions extends LinkOptions {
@@ -43,7 +43,7 @@
   readonly random: Random;
 }
 
-/** What is known of one peer. */
+/** State of one peer. */
 interface PeerEntry {
   address: string;
   link: OutgoingLink | undefined;
@@ -88,7 +88,7 @@
     this.scheduleSweep();
   }
 
-  /** The address listened on, with the port that was taken. */
+  /** The address listened on, with the actual port. */
   get localAddress(): string {
     const bound = this.server.address();
     if (bound === null || typeof bound === 'string') return this.options.address;
@@ -104,9 +104,9 @@
   }
 
   /**
-   * Planned stop: takes no more connections or calls, ends those in progress and waits
-   * until the peers have closed their links, or a limit. Peers learn which of their calls
-   * were not handled, so that none ends with an unknown outcome.
+   * Planned stop: accepts no more connections or calls, completes the calls in progress and
+   * waits until the peers have closed their links, within a time limit. Peers are notified which
+   * of their calls were not handled, so that none ends with an unknown outcome.
    */
   async retire(): Promise<void> {
     this.closed = true;
@@ -115,11 +115,11 @@
     for (const link of links) link.post({ type: 'retire' });
     if (this.incoming.size === 0) return;
     await new Promise<void>((resolve) => {
-      const cancelLimit = this.options.clock.schedule(RETIRE_LIMIT_MS, () => {
+      const cancelTimeout = this.options.clock.schedule(RETIRE_TIMEOUT_MS, () => {
         resolve();
       });
       this.onRetired = () => {
-        cancelLimit();
+        cancelTimeout();
         resolve();
       };
     });
@@ -168,7 +168,11 @@
         resolve: resolve as (result: Result<unknown, Failure>) => void,
       };
       if (!link.value.post({ type: 'call', call })) {
-        resolve(Result.err(createFailure(ResultCode.MailboxFull, `link to ${node} is full`)));
+        resolve(
+          Result.err(
+            createFailure(ResultCode.MailboxFull, `mailbox of the link to ${node} is full`),
+          ),
+        );
       }
     });
   }
@@ -198,7 +202,7 @@
     if (entry === undefined || this.closed) return unreachable(`${node} has no known address`);
     if (entry.link !== undefined) return Result.ok(entry.link);
     const waitMs = entry.notBefore - this.options.clock.now();
-    if (waitMs > 0) return unreachable(`${node} could not be reached a moment ago`, waitMs);
+    if (waitMs > 0) return unreachable(`${node}: backoff after failed connections`, waitMs);
     entry.link = new OutgoingLink({
       ...this.options,
       peer: node,
@@ -226,7 +230,7 @@
   private accept(socket: Socket): void {
     const unauthenticated = [...this.incoming].filter((link) => !link.isOpen).length;
     const pending = this.tlsAcceptor?.pending ?? 0;
-    if (this.closed || unauthenticated + pending >= MAX_UNAUTHENTICATED) {
+    if (this.closed || unauthenticated + pending >= MAX_UNAUTHENTICATED_CONNECTIONS) {
       socket.destroy();
       return;
     }
--- a/src/peer/tls-acceptor.ts
+++ b/src/peer/tls-acceptor.ts
@@ -8,13 +8,13 @@
 /** Options of a {@link TlsAcceptor}. */
 export interface TlsAcceptorOptions {
   readonly tls: MutualTls;
-  /** A peer has shown a certificate of the authority. */
+  /** Called when a peer has presented a certificate of the authority. */
   readonly onAccepted: (socket: TLSSocket) => void;
-  /** The handshake failed; the connection is closed already. */
+  /** Called when the handshake has failed; the connection is closed already. */
   readonly onRejected: (from: string, detail: string) => void;
 }
 
-/** Does the handshakes of connections that another server has accepted. */
+/** Performs the TLS handshakes of connections that another server has accepted. */
 export class TlsAcceptor {
   /** Connections in their handshake, by the peer's address and port. */
   private readonly handshaking = new Map<string, Socket>();
@@ -33,7 +33,7 @@
       onAccepted(socket);
     });
     this.server.on('tlsClientError', (error: NodeJS.ErrnoException, socket) => {
-      // The reason of a certificate that was refused stands on the socket only.
+      // The reason why a certificate was refused is only set on the socket.
       const refused = socket.authorizationError as unknown;
       const detail = typeof refused === 'string' ? refused : (error.code ?? error.message);
       onRejected(describeRemote(socket), detail);
@@ -55,7 +55,7 @@
     this.server.emit('connection', socket);
   }
 
-  /** Ends the handshakes that run. */
+  /** Aborts the handshakes in progress. */
   close(): void {
     for (const socket of this.handshaking.values()) socket.destroy();
   }
--- a/src/peer/tls-peer-network.test.ts
+++ b/src/peer/tls-peer-network.test.ts
@@ -1,4 +1,4 @@
-/** Links with TLS: who gets in, and that whoever does not disturbs nobody. */
+/** Links with TLS: which peers are accepted, and that a rejected one does not affect others. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { connect } from 'node:net';
@@ -78,18 +78,18 @@
 }
 
 async function assertServes(context: TestContext, server: Node, tls?: MutualTls): Promise<void> {
-  const friend = await startNode(context, 'friend', { tls });
-  assert.equal(await call(friend, server), 'Ok');
+  const otherNode = await startNode(context, 'friend', { tls });
+  assert.equal(await call(otherNode, server), 'Ok');
 }
 
-/** A certificate of another authority with trust in the fleet's. */
+/** Has a certificate of another authority, but trusts the fleet's. */
 const IMPOSTOR_TLS = { ...STRANGER_TLS, ca: TEST_TLS.ca };
 
 interface Case {
   readonly name: string;
   readonly client: NodeOptions;
   readonly server: NodeOptions;
-  /** Of the server, the client. */
+  /** Expected events of the server and of the client; undefined when none is checked. */
   readonly rejections: readonly [RegExp | undefined, RegExp | undefined];
 }
 
@@ -133,7 +133,7 @@
 ];
 
 for (const { name, client, server, rejections } of CASES) {
-  test(`refused with an event, no call sent, others go on: ${name}`, async (context) => {
+  test(`rejected with an event, no call sent, others not affected: ${name}`, async (context) => {
     const serving = await startNode(context, 'server', server);
     const calling = await startNode(context, 'client', client);
     assert.equal(await call(calling, serving), 'PeerUnreachable');
@@ -141,12 +141,12 @@
     if (byServer !== undefined) assert.match(await serving.rejected, byServer);
     if (byClient !== undefined) assert.match(await calling.rejected, byClient);
     assert.deepEqual(serving.calls, []);
-    const friend = server.tls === IMPOSTOR_TLS ? undefined : server.tls;
-    if (server.tls !== IMPOSTOR_TLS) await assertServes(context, serving, friend);
+    const otherTls = server.tls === IMPOSTOR_TLS ? undefined : server.tls;
+    if (server.tls !== IMPOSTOR_TLS) await assertServes(context, serving, otherTls);
   });
 }
 
-test('nodes with certificates of the authority talk, also in large frames', async (context) => {
+test('nodes with certificates of the authority exchange calls, also in large frames', async (context) => {
   const server = await startNode(context, 'server', { tls: TEST_TLS });
   const client = await startNode(context, 'client', { tls: TEST_TLS });
   assert.equal(await call(client, server, { padding: 'x'.repeat(1_000_000) }), 'Ok');
@@ -160,13 +160,13 @@
   assert.match(await server.rejected, /^PeerRejected PeerUnauthenticated TLS: /);
 });
 
-test('closing the node ends connections that are silent in their TLS handshake', async (context) => {
+test('closing the node ends connections that send nothing in their TLS handshake', async (context) => {
   const server = await startNode(context, 'server', { tls: TEST_TLS });
   const socket = connect(splitAddress(server.network.localAddress));
   socket.on('error', () => {});
   await once(socket, 'connect');
   await assertServes(context, server, TEST_TLS);
   await Promise.all([once(socket, 'close'), server.network.close()]);
-  // Not by the time limit of the handshake.
+  // Closed by the node, not by the time limit of the handshake.
   assert.match(await server.rejected, /TLS: ECONNRESET$/);
 });
