--- a/src/claims/charge-requester.ts
+++ b/src/claims/charge-requester.ts
@@ -20,7 +20,7 @@
   readonly outcome: ChargeOutcome;
 }
 
-/** Time by which the slots of charges that contended for them have been released. */
+/** Time within which charges that contended for slots have released them, in milliseconds. */
 const CONTENTION_RETRY_AFTER_MS = 200;
 /** Time within which replicas that change their epoch vote again, in milliseconds. */
 const NO_MAJORITY_RETRY_AFTER_MS = 1_000;
--- a/src/claims/claim-task.test.ts
+++ b/src/claims/claim-task.test.ts
@@ -178,7 +178,7 @@
   assert.equal((await fleet.claim('b', fleet.createKey(), 'first')).type, 'granted');
 });
 
-test('a group whose members all restarted is restarted and refuses earlier keys', async () => {
+test('a group whose members all lost their memory is restarted and refuses earlier keys', async () => {
   const fleet = await createClaimFleet();
   const key = fleet.createKey();
   await fleet.claim('a', key, 'first');
@@ -253,7 +253,7 @@
   }
 });
 
-test('nodes that each receive no majority grant nothing beyond the bound together', async () => {
+test('nodes that each receive no majority together grant nothing beyond the bound', async () => {
   const fleet = await createClaimFleet();
   const charge = (node: string): Promise<Result<number, Failure>> => {
     const deadline = fleet.clock.now() + 1_000;
--- a/src/claims/epoch-changer.ts
+++ b/src/claims/epoch-changer.ts
@@ -185,7 +185,7 @@
     });
   }
 
-  /** A ballot above all that this node has seen; unique, as it contains the incarnation. */
+  /** A ballot above all seen by this node; unique, as it contains the process's incarnation. */
   private nextBallot(): { readonly round: number; readonly nodeId: string } {
     const { self, promisedBallot } = this.options.replica.view;
     this.round = Math.max(this.round, promisedBallot?.round ?? 0) + 1;
--- a/src/claims/replica-delivery.ts
+++ b/src/claims/replica-delivery.ts
@@ -73,7 +73,7 @@
     await this.send(this.add(group, message));
   }
 
-  /** Planned stop: waits until all messages are delivered, or until `deadline` (local time). */
+  /** Planned stop: waits until all messages are delivered, or until `deadline` (monotonic). */
   async drain(deadline: number): Promise<void> {
     const { clock } = this.options;
     while (this.pending.size > 0 && clock.now() < deadline) await pause(clock, DRAIN_POLL_MS);
