--- a/src/entry/attempt-source.ts
+++ b/src/entry/attempt-source.ts
@@ -1,4 +1,4 @@
-/** Where the attempts of one call come from: its own budget, or also the shared one of its key. */
+/** Source of the attempts of one call: its own budget, or also the shared budget of its key. */
 import { Result } from 'true-myth';
 import type { ChargeGrant, ClaimService } from '../claims/claim-service.js';
 import { AttemptBudget } from '../core/attempt-budget.js';
@@ -9,10 +9,10 @@
 /** Longest wait for a charge of the shared budget, in milliseconds. */
 const CHARGE_WAIT_MS = 250;
 
-/** Grants attempts to the tries of one call. */
+/** Grants each attempt of one call the attempts that it and the calls below it may use. */
 export class AttemptSource {
   private readonly budget: AttemptBudget;
-  /** Attempts charged to the shared budget and not granted to a try. */
+  /** Attempts charged to the shared budget and not granted. */
   private charged = 0;
   private readonly grants: ChargeGrant[] = [];
   private used = 0;
@@ -25,17 +25,17 @@
     this.budget = new AttemptBudget(call.attempts, need);
   }
 
-  /** Attempts spent, grants that have not been settled included. */
+  /** Attempts spent, including grants that are not settled. */
   get attemptsUsed(): number {
     return this.used;
   }
 
-  /** Attempts that further tries may get. */
+  /** Attempts that can still be granted. */
   get remaining(): number {
     return this.budget.remaining;
   }
 
-  /** Grants attempts to the next try, at least one, or says why there are none. */
+  /** Grants at least one attempt to the next attempt, or fails with the reason. */
   async grant(now: number): Promise<Result<number, Failure>> {
     const wanted = this.budget.grant();
     if (wanted < 1) return Result.err(exhausted());
@@ -57,7 +57,7 @@
     if (this.isShared) this.charged += unused;
   }
 
-  /** Ends the call: what was charged and not used is free for a repeat of the same key. */
+  /** Ends the call. Returns charged attempts that were not used, for retries with the same key. */
   release(): void {
     for (const { attempts, giveBack } of this.grants) {
       const unused = Math.min(attempts, this.charged);
@@ -67,7 +67,7 @@
     this.grants.length = 0;
   }
 
-  /** Repeats of the same key at other nodes share one budget; calls of back ends have a ledger. */
+  /** Retries with the same key at other nodes share one budget; calls by back ends use a ledger. */
   private get isShared(): boolean {
     const { idempotencyKey, parentAttemptId } = this.call;
     return idempotencyKey !== undefined && parentAttemptId === undefined;
--- a/src/entry/call-factory.ts
+++ b/src/entry/call-factory.ts
@@ -1,4 +1,4 @@
-/** From a received request to a call: classification, context and attempts. */
+/** Turns a received request into a call: classification, context and attempts. */
 import { randomUUID } from 'node:crypto';
 import { Result } from 'true-myth';
 import type { Classification, ConfigStore } from '../config/config-store.js';
@@ -14,10 +14,10 @@
 import { readIdempotencyKey } from './idempotency-key.js';
 import type { ParentLedger, ParentReference } from './parent-ledger.js';
 
-const NOT_READY_RETRY_MS = 1_000;
+const NOT_READY_RETRY_AFTER_MS = 1_000;
 const SPAN_ID_LENGTH = 16;
 
-/** A call ready for routing, with the parent whose attempts it draws on. */
+/** A call ready for routing, with the parent whose attempts it uses. */
 export interface PreparedCall {
   readonly call: InboundCall;
   readonly parent?: ParentReference;
@@ -31,7 +31,7 @@
   headers: HeaderFields,
 ): Result<Classification, Failure> {
   if (config.version === 0) {
-    const options = { retryAfterMs: NOT_READY_RETRY_MS };
+    const options = { retryAfterMs: NOT_READY_RETRY_AFTER_MS };
     return Result.err(createFailure(ResultCode.NotReady, 'no rules in force yet', options));
   }
   const host = findHeader(headers, 'host') ?? '';
@@ -54,7 +54,7 @@
     private readonly parents: ParentLedger,
   ) {}
 
-  /** @param received local monotonic time at which the head of the request was there */
+  /** @param received local monotonic time at which the head of the request had been read */
   async create(
     { tenant, service, kind }: Classification,
     request: HttpRequest,
@@ -64,7 +64,7 @@
     if (key.isErr) return Result.err(key.error);
     const timeout = readCallerTimeout(request.headers);
     if (timeout.isErr) return Result.err(timeout.error);
-    const wait = Math.min(kind.deadlineMs, timeout.value ?? kind.deadlineMs);
+    const timeoutMs = Math.min(kind.deadlineMs, timeout.value ?? kind.deadlineMs);
     const base: InboundCall = {
       context: {
         requestId: key.value ?? randomUUID(),
@@ -72,7 +72,7 @@
         service: service.name,
         kind: kind.name,
         criticality: kind.criticality,
-        deadline: received + wait,
+        deadline: received + timeoutMs,
         idempotent: kind.idempotent,
         depth: 0,
       },
@@ -82,15 +82,15 @@
       attempts: kind.attempts,
       ...(key.value === undefined ? {} : { idempotencyKey: key.value }),
     };
-    return this.underParent(base);
+    return this.inheritFromParent(base);
   }
 
-  /** A call of a back end draws on the attempts, deadline and importance of its parent. */
-  private async underParent(call: InboundCall): Promise<Result<PreparedCall, Failure>> {
+  /** A call by a back end uses its parent's attempts and inherits its deadline and criticality. */
+  private async inheritFromParent(call: InboundCall): Promise<Result<PreparedCall, Failure>> {
     const parent = readParent(call.request.headers);
     if (parent === undefined) return checkOpenToCallers(call);
     if (entryOf(call) === 'external') {
-      const detail = `${call.kind.name} of ${call.service.name} takes no calls of other services`;
+      const detail = `${call.kind.name} of ${call.service.name} takes no calls from other services`;
       return Result.err(createFailure(ResultCode.UnknownService, detail));
     }
     const reserved = await this.parents.reserve(parent, call);
@@ -108,18 +108,18 @@
   }
 }
 
-/** A kind's own setting stands above its service's. */
+/** A kind's own setting overrides that of its service. */
 function entryOf({ kind, service }: InboundCall): ServiceRules['entry'] {
   return kind.entry ?? service.entry;
 }
 
 function checkOpenToCallers(call: InboundCall): Result<PreparedCall, Failure> {
   if (entryOf(call) !== 'internal') return Result.ok({ call });
-  const detail = `${call.kind.name} of ${call.service.name} takes calls of other services only`;
+  const detail = `${call.kind.name} of ${call.service.name} takes only calls from other services`;
   return Result.err(createFailure(ResultCode.CallContextRequired, detail));
 }
 
-/** The request as it goes to the back end, apart from the baggage that its node adds. */
+/** The request as sent to the back end, without the baggage that the fronting node adds. */
 function prepareRequest(request: HttpRequest): HttpRequest {
   const { method, body } = request;
   const headers = forwardRequestFields(method, request.headers, body.length);
--- a/src/entry/call-router.ts
+++ b/src/entry/call-router.ts
@@ -1,4 +1,4 @@
-/** The calling side of a node: from an admitted request to one final result. */
+/** The calling side of a node: takes a classified request to one final result. */
 import type { Failure } from '../core/failure.js';
 import type { HttpAnswer, HttpRequest } from '../core/http-message.js';
 import type { RequestContext } from '../core/request.js';
@@ -14,7 +14,7 @@
   readonly attempts: number;
   /** Value of Idempotency-Key, when given. */
   readonly idempotencyKey?: string;
-  /** Attempt under which a back end makes this call; absent for callers. */
+  /** Parent attempt of a call by a back end; absent for requests of callers. */
   readonly parentAttemptId?: string;
 }
 
@@ -25,7 +25,7 @@
 
 /** Routes calls: entry admission, claims, target choice, retries. */
 export interface CallRouter {
-  /** Never rejects; `signal` aborts when the caller went away. */
+  /** Never rejects. `signal` aborts when the caller goes away. */
   route(call: InboundCall, signal: AbortSignal): Promise<CallResult>;
   /** Calls in progress. */
   readonly inProgress: number;
--- a/src/entry/caller-timeout.ts
+++ b/src/entry/caller-timeout.ts
@@ -1,4 +1,4 @@
-/** The Sillshore-Timeout field: the caller's own wait in milliseconds. */
+/** The Sillshore-Timeout field: the caller's own time limit in milliseconds. */
 import { Result } from 'true-myth';
 import { createFailure, type Failure } from '../core/failure.js';
 import { findHeader, type HeaderFields } from '../core/http-message.js';
@@ -7,7 +7,7 @@
 const FIELD = 'sillshore-timeout';
 const MAX_TIMEOUT_MS = 600_000;
 
-/** Reads the caller's wait; undefined when the field is absent. */
+/** Reads the caller's time limit; undefined when the field is absent. */
 export function readCallerTimeout(headers: HeaderFields): Result<number | undefined, Failure> {
   const value = findHeader(headers, FIELD)?.trim();
   if (value === undefined) return Result.ok(undefined);
--- a/src/entry/chain.test.ts
+++ b/src/entry/chain.test.ts
@@ -1,4 +1,4 @@
-/** Calls of back ends: one bound on attempts, one deadline, one importance for the whole chain. */
+/** Calls by back ends: one bound on attempts, one deadline, one criticality for the whole chain. */
 import assert from 'node:assert/strict';
 import { after, before, beforeEach, test } from 'node:test';
 import { ResultCode } from '../core/result-code.js';
@@ -71,7 +71,7 @@
   return /\r\nbaggage: (.*)/i.exec(head)?.[1] ?? '';
 }
 
-/** The next call of the chain, by way of the node given. */
+/** Sends the next call of the chain to the given node. */
 function callLedger(
   request: RawRequest,
   node: DataPathNode,
@@ -89,7 +89,7 @@
   request.socket.resetAndDestroy();
 }
 
-test('a call below an attempt works by way of the node that holds its ledger, and of another', async () => {
+test('a call below an attempt works through the node that holds its ledger, and through another', async () => {
   for (const node of [near, far]) {
     guide.setScript((request) => {
       void callLedger(request, node).then(({ body }) => {
@@ -112,11 +112,11 @@
     const [guideBefore, ledgerBefore] = [guide.seen.length, ledger.seen.length];
     ledger.setScript(fail);
     guide.setScript((request) => {
-      const repeat = async (): Promise<void> => {
-        for (let tries = 0; tries < 5; tries += 1) await callLedger(request, node);
+      const retryThenFail = async (): Promise<void> => {
+        for (let count = 0; count < 5; count += 1) await callLedger(request, node);
         fail(request);
       };
-      void repeat();
+      void retryThenFail();
     });
     const result = await send({ port: near.entryPort, path: '/step' });
     assert.notEqual(result.status, 200);
@@ -140,7 +140,7 @@
   assert.equal(ledger.seen.length, seenBefore);
 });
 
-test('a call under an attempt that has ended is refused, not run', async () => {
+test('a call below an attempt that has ended is refused, not run', async () => {
   for (const node of [near, far]) {
     const seenBefore = ledger.seen.length;
     let kept: RawRequest | undefined;
@@ -156,7 +156,7 @@
   }
 });
 
-test('a lost reply between nodes counts as everything granted', async () => {
+test('a lost reply between nodes counts all granted attempts as spent', async () => {
   near.peers.lossy.add('node-b');
   far.peers.lossy.add('node-a');
   const before = guide.seen.length;
--- a/src/entry/claim-guard.ts
+++ b/src/entry/claim-guard.ts
@@ -1,4 +1,4 @@
-/** The claim of one non-idempotent call: asked for before dispatch, settled at its end. */
+/** The claim of one non-idempotent call: requested before dispatch, settled at the call's end. */
 import { createHash } from 'node:crypto';
 import type { ClaimRequest, ClaimService } from '../claims/claim-service.js';
 import { createFailure } from '../core/failure.js';
@@ -6,14 +6,13 @@
 import { ResultCode } from '../core/result-code.js';
 import type { CallResult, InboundCall } from './call-router.js';
 
-const IN_PROGRESS_RETRY_MS = 200;
+const IN_PROGRESS_RETRY_AFTER_MS = 200;
 
-/** What the claim says: go on until `notAfter`, or the final result. */
+/** Outcome of a claim: the call may be dispatched until `notAfter`, or has a final result. */
 export type ClaimOutcome =
   | { readonly type: 'dispatch'; readonly notAfter: number }
   | { readonly type: 'final'; readonly result: CallResult };
 
-/** See the module comment. */
 export class ClaimGuard {
   private readonly request: ClaimRequest;
 
@@ -33,7 +32,7 @@
     };
   }
 
-  /** Asks for the claim. */
+  /** Requests the claim. */
   async claim(): Promise<ClaimOutcome> {
     const decision = await this.claims.claim(this.request);
     switch (decision.type) {
@@ -61,7 +60,7 @@
 }
 
 function inProgress(): CallResult {
-  const options = { retryAfterMs: IN_PROGRESS_RETRY_MS };
+  const options = { retryAfterMs: IN_PROGRESS_RETRY_AFTER_MS };
   const detail = 'an earlier request with this Idempotency-Key has not ended yet';
   const failure = createFailure(ResultCode.RequestInProgress, detail, options);
   return { type: 'failure', failure, attemptsUsed: 0 };
--- a/src/entry/entry-contract.test.ts
+++ b/src/entry/entry-contract.test.ts
@@ -1,4 +1,4 @@
-/** Contract of the callers' interface: bad input gets its number, and others do not suffer. */
+/** Contract of the callers' interface: bad input gets its result code, others are served. */
 import assert from 'node:assert/strict';
 import { Agent } from 'node:http';
 import { connect } from 'node:net';
@@ -120,7 +120,7 @@
     status: 400,
   },
   {
-    name: 'timeout field that is no number',
+    name: 'timeout field that is not a number',
     raw: `${HEAD}Sillshore-Timeout: soon\r\n${CLOSE}`,
     code: ResultCode.InvalidField,
     status: 400,
@@ -132,7 +132,7 @@
     status: 400,
   },
   {
-    name: 'key that is no UUIDv7',
+    name: 'key that is not a UUIDv7',
     raw: `${HEAD}Idempotency-Key: abc\r\n${CLOSE}`,
     code: ResultCode.InvalidField,
     status: 400,
@@ -156,7 +156,7 @@
     status: 400,
   },
   {
-    name: 'context of an attempt that does not run',
+    name: 'context of an attempt that is not running',
     raw: `GET /x HTTP/1.1\r\nHost: ledger\r\nBaggage: sillshore-parent=a.b.c\r\n${CLOSE}`,
     code: ResultCode.CallContextRequired,
     status: 400,
@@ -188,7 +188,7 @@
   assert.deepEqual(backend.seen.slice(seenBefore), ['/steps/next']);
 });
 
-test('Expect: 100-continue is answered before the body, and not for a refused one', async () => {
+test('Expect: 100-continue is answered before the body, and not for a refused body', async () => {
   const expecting = `${POST}Expect: 100-continue\r\n`;
   const wanted = `${expecting}Content-Length: 2\r\n\r\nab`;
   assert.match(
--- a/src/entry/entry-path.test.ts
+++ b/src/entry/entry-path.test.ts
@@ -1,4 +1,4 @@
-/** The path of a call over real loopback HTTP, with raw back ends. */
+/** Path of a call over loopback HTTP, with a back end on raw sockets. */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import { DataPathFleet, type DataPathNode } from '../../test/support/data-path-node.js';
@@ -36,7 +36,7 @@
   await backend.close();
 });
 
-test('a request passes through the node that fronts the target, and through another one', async () => {
+test('a request passes through the node that fronts the target, and through another node', async () => {
   for (const { entryPort } of [near, far]) {
     const answer = await send({ port: entryPort, path: `/steps?from=${entryPort}` });
     assert.equal(answer.status, 200);
--- a/src/entry/entry-plugin.ts
+++ b/src/entry/entry-plugin.ts
@@ -22,18 +22,18 @@
 
 /** Time for peers and callers to learn of a planned stop while the node still serves. */
 const LEAVING_PHASE_MS = 1_500;
-/** Longest wait at the stop for requests that came in after the drain. */
-const LAST_ANSWERS_MS = 2_000;
-const IDLE_CHECK_MS = 20;
-/** Longest wait for idle connections: callers were told the keep-alive time. */
-const IDLE_CONNECTIONS_WAIT_MS = KEEP_ALIVE_TIMEOUT_MS + 1_000;
+/** Longest wait at the stop for requests that arrived after the drain. */
+const STOP_ANSWER_TIMEOUT_MS = 2_000;
+const IDLE_CHECK_INTERVAL_MS = 20;
+/** Longest wait for idle connections to close: longer than the time announced to callers. */
+const IDLE_CONNECTIONS_TIMEOUT_MS = KEEP_ALIVE_TIMEOUT_MS + 1_000;
 const MAX_SEED = 2 ** 30;
-const OVERLOADED_RETRY_MS = 200;
+const MAILBOX_FULL_RETRY_AFTER_MS = 200;
 
 /** State of one node's plug-in. */
 class EntrySide {
   private readonly task: EntryTask;
-  private readonly refreshing: CoalescedCall;
+  private readonly refreshCall: CoalescedCall;
   private server: EntryServer | undefined;
   private draining = false;
   private unsubscribe: (() => void)[] = [];
@@ -43,7 +43,7 @@
     private readonly router: ServiceCallRouter,
   ) {
     this.task = createTask(container, router);
-    this.refreshing = new CoalescedCall(container.get(Token.Clock), REFRESH_INTERVAL_MS, () => {
+    this.refreshCall = new CoalescedCall(container.get(Token.Clock), REFRESH_INTERVAL_MS, () => {
       this.refresh();
     });
   }
@@ -51,7 +51,7 @@
   async start(): Promise<void> {
     const { listen, limits } = this.container.get(Token.Settings);
     const refresh = (): void => {
-      this.refreshing.request();
+      this.refreshCall.request();
     };
     this.unsubscribe = [
       this.container.get(Token.Membership).subscribe(refresh),
@@ -65,16 +65,16 @@
       onExchange: (exchange) => {
         this.accept(exchange);
       },
-      onBadInput: (failure) => this.describeBadInput(failure),
+      onBadInput: (failure) => this.answerBadInput(failure),
     });
     this.refresh();
   }
 
   /**
-   * Planned stop: peers are told first, while callers are still served and asked to close
-   * their connections; then new requests are refused, not run. Calls of back ends are served all
-   * the time, on new connections too until no attempt runs here: those attempts need them. After
-   * that new connections are refused, and open ones end with what runs on them.
+   * Planned stop. First, peers are notified while callers are still served and asked to close
+   * their connections. Then new requests are refused as not run. Calls by back ends are served
+   * throughout, also on new connections until no attempt runs here, because running attempts need
+   * them. After that, new connections are refused, and open ones close after their last answers.
    */
   async drain(): Promise<void> {
     const clock = this.container.get(Token.Clock);
@@ -88,41 +88,44 @@
     await this.waitUntil(end, () => dispatcher.inProgress === 0);
     this.server?.stopListening();
     const running = (): number =>
-      this.task.inProgress + this.router.inProgress + dispatcher.inProgress + this.unfinished;
+      this.task.inProgress +
+      this.router.inProgress +
+      dispatcher.inProgress +
+      this.unfinishedExchanges;
     await this.waitUntil(end, () => running() === 0);
-    const idleEnd = Math.min(end, clock.now() + IDLE_CONNECTIONS_WAIT_MS);
+    const idleEnd = Math.min(end, clock.now() + IDLE_CONNECTIONS_TIMEOUT_MS);
     await this.waitUntil(idleEnd, () => (this.server?.connections ?? 0) + running() === 0);
     await this.waitUntil(end, () => running() === 0);
   }
 
   async stop(): Promise<void> {
     for (const unsubscribe of this.unsubscribe) unsubscribe();
-    this.refreshing.cancel();
-    if (this.draining) await this.finishRunning();
+    this.refreshCall.cancel();
+    if (this.draining) await this.waitForExchanges();
     await this.server?.close();
     this.task.close();
   }
 
-  /** What came in since the drain, calls of back ends above all, is still answered. */
-  private async finishRunning(): Promise<void> {
-    const end = this.container.get(Token.Clock).now() + LAST_ANSWERS_MS;
-    await this.waitUntil(end, () => this.task.inProgress + this.unfinished === 0);
+  /** Waits for the answers to requests that arrived since the drain, mainly calls by back ends. */
+  private async waitForExchanges(): Promise<void> {
+    const end = this.container.get(Token.Clock).now() + STOP_ANSWER_TIMEOUT_MS;
+    await this.waitUntil(end, () => this.task.inProgress + this.unfinishedExchanges === 0);
   }
 
-  /** Answers that are still being written. */
-  private get unfinished(): number {
+  /** Requests whose answers are not fully written. */
+  private get unfinishedExchanges(): number {
     return this.server?.unfinishedExchanges ?? 0;
   }
 
   private accept(exchange: HttpExchange): void {
     if (this.task.post({ type: 'exchange', exchange })) return;
     const { node } = this.container.get(Token.Settings);
-    const options = { retryAfterMs: OVERLOADED_RETRY_MS };
+    const options = { retryAfterMs: MAILBOX_FULL_RETRY_AFTER_MS };
     const failure = createFailure(ResultCode.MailboxFull, 'too many requests', options);
     exchange.answer(toProblemAnswer(failure, node.id), true);
   }
 
-  private describeBadInput(failure: Failure): HttpAnswer {
+  private answerBadInput(failure: Failure): HttpAnswer {
     const { code, detail } = failure;
     this.container.get(Token.EventLog).emit(Event.EntryInputRejected, { code, detail });
     const metrics = this.container.get(Token.Metrics);
@@ -144,7 +147,7 @@
 
   private async waitUntil(end: number, done: () => boolean): Promise<void> {
     const clock = this.container.get(Token.Clock);
-    while (!done() && clock.now() < end) await this.sleep(IDLE_CHECK_MS);
+    while (!done() && clock.now() < end) await this.sleep(IDLE_CHECK_INTERVAL_MS);
   }
 }
 
--- a/src/entry/entry-server.test.ts
+++ b/src/entry/entry-server.test.ts
@@ -1,4 +1,4 @@
-/** The first node's listener on real sockets: what the end of a connection does to its requests. */
+/** The entry listener on real sockets: effects of the end of a connection on its requests. */
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
 import { afterEach, beforeEach, test } from 'node:test';
@@ -7,7 +7,7 @@
 import { startEntryServer, type EntryServer } from './entry-server.js';
 import type { HttpExchange } from './http-exchange.js';
 
-/** More than the sockets' buffers of both ends take, in bytes. */
+/** More than the socket buffers of both ends hold. */
 const LARGE_BYTES = 16 * 1024 * 1024;
 
 let server: EntryServer;
@@ -28,7 +28,7 @@
 
 afterEach(() => server.close());
 
-test('what is not HTTP behind requests does not cut off their answers', async () => {
+test('bad input after pipelined requests does not cut off their answers', async () => {
   const socket = connect(server.port, '127.0.0.1');
   let text = '';
   let ended = false;
@@ -59,7 +59,7 @@
   socket.destroy();
 });
 
-test('requests behind one another count no more once their connection is gone', async () => {
+test('pipelined requests no longer count as unfinished once their connection is gone', async () => {
   const socket = connect(server.port, '127.0.0.1');
   socket.write('GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n');
   await waitUntil(() => exchanges.length === 2);
@@ -68,7 +68,7 @@
   await waitUntil(() => server.unfinishedExchanges === 0);
 });
 
-test('of requests behind one another the last in order closes, and nothing is taken after it', async () => {
+test('the last of the pipelined requests closes the connection, and none is accepted after it', async () => {
   const socket = connect(server.port, '127.0.0.1');
   let text = '';
   let ended = false;
--- a/src/entry/entry-server.ts
+++ b/src/entry/entry-server.ts
@@ -1,4 +1,4 @@
-/** The listener of the callers' interface. The HTTP library hides behind {@link EntryServer}. */
+/** The listener of the callers' interface. {@link EntryServer} hides the HTTP library. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { Server as NetServer, type AddressInfo, type Socket } from 'node:net';
 import type { Duplex } from 'node:stream';
@@ -12,26 +12,25 @@
 import { HttpExchange } from './http-exchange.js';
 
 /**
- * Idle time after which a keep-alive connection is closed. Callers are told whole seconds, 5, in
- * `Keep-Alive`; the rest lets a request that was sent at the last moment still be served.
+ * Idle time after which a keep-alive connection is closed. `Keep-Alive` announces whole seconds,
+ * 5, to callers; the rest lets a request that was sent at the last moment still be served.
  */
 export const KEEP_ALIVE_TIMEOUT_MS = 5_900;
 const CONNECTION_CHECK_INTERVAL_MS = 250;
 const MAX_HEADER_BYTES = 16_384;
 
-/** Libraries that can take requests; docs/design/data-path.md compares them. */
+/** HTTP libraries that can serve the listener; docs/design/data-path.md compares them. */
 export type EntryFramework = 'node-http' | 'express';
 
-/** Parameters of the listener. */
 export interface EntryServerOptions {
   readonly host: string;
   readonly port: number;
   readonly framework: EntryFramework;
-  /** Time in which the head of a request must be there, in milliseconds. */
+  /** Time limit for receiving the head of a request. */
   readonly headersTimeoutMs: number;
   readonly clock: Clock;
   readonly onExchange: (exchange: HttpExchange) => void;
-  /** Turns input that is not HTTP into the answer that its sender gets. */
+  /** Returns the answer to input that is not a valid request. */
   readonly onBadInput: (failure: Failure) => HttpAnswer;
 }
 
@@ -40,9 +39,9 @@
   readonly port: number;
   /** Open connections. */
   readonly connections: number;
-  /** Exchanges whose answers are not wholly written. */
+  /** Exchanges whose answers are not fully written. */
   readonly unfinishedExchanges: number;
-  /** Refuses new connections; open ones are served on, idle ones until their time is over. */
+  /** Refuses new connections. Serves open ones; idle ones close after the keep-alive timeout. */
   stopListening(): void;
   /** Closes everything. */
   close(): Promise<void>;
@@ -66,7 +65,7 @@
     burst.noteConnection();
     connections.open(socket);
   });
-  // A connection that was idle for too long; what crosses its end is not taken.
+  // The connection was idle for too long. Requests that arrive while it closes are not accepted.
   server.on('timeout', (socket) => {
     connections.finish(socket);
   });
@@ -81,8 +80,8 @@
       return connections.unfinishedExchanges;
     },
     stopListening: () => {
-      // A connection that the machine has taken and the server has not is reset when the listener
-      // closes.
+      // Closing the listener resets connections that the operating system has accepted and the
+      // server has not.
       burst.afterWaiting(() => {
         // The HTTP server's own close also closes idle connections, on which a caller may be
         // sending at that moment.
@@ -99,8 +98,12 @@
   connections: Connections,
   burst: AcceptBurst,
 ): void {
-  const accept = (request: IncomingMessage, response: ServerResponse, expects: boolean): void => {
-    const exchange = connections.take(request, response, expects);
+  const accept = (
+    request: IncomingMessage,
+    response: ServerResponse,
+    expectsContinue: boolean,
+  ): void => {
+    const exchange = connections.accept(request, response, expectsContinue);
     if (exchange === undefined) {
       request.resume();
       return;
@@ -120,7 +123,7 @@
   server.on('checkContinue', withExpectation);
   server.on('checkExpectation', withExpectation);
   server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
-    if (connections.giveWay(socket)) rejectInput(options, socket, toInputFailure(error));
+    if (connections.prepareErrorAnswer(socket)) rejectInput(options, socket, toInputFailure(error));
   });
   server.on('connect', (_request, socket) => {
     const detail = 'CONNECT is not served';
@@ -131,7 +134,7 @@
 /** Open connections and the newest exchange on each; pipelining allows several exchanges. */
 class Connections {
   private readonly bySocket = new Map<Duplex, CallerConnection>();
-  private readonly newest = new WeakMap<Duplex, HttpExchange>();
+  private readonly newestExchange = new WeakMap<Duplex, HttpExchange>();
 
   constructor(private readonly clock: Clock) {}
 
@@ -139,7 +142,7 @@
     return this.bySocket.size;
   }
 
-  /** Exchanges whose answers are not wholly written. */
+  /** Exchanges whose answers are not fully written. */
   get unfinishedExchanges(): number {
     let count = 0;
     for (const { unfinishedCount } of this.bySocket.values()) count += unfinishedCount;
@@ -151,46 +154,46 @@
     this.bySocket.set(socket, connection);
   }
 
-  /** Takes a request, unless its connection is being closed. */
-  take(
+  /** Accepts a request unless its connection is closing. */
+  accept(
     request: IncomingMessage,
     response: ServerResponse,
-    expects: boolean,
+    expectsContinue: boolean,
   ): HttpExchange | undefined {
     const connection = this.bySocket.get(request.socket);
     if (connection?.takesRequests !== true) return undefined;
     const slot = connection.take(response);
-    const decideEnd = (wantsClose: boolean): boolean => {
+    const decideClose = (wantsClose: boolean): boolean => {
       slot.answered = true;
       const closes = (wantsClose || !connection.takesRequests) && connection.isNewest(slot);
       if (closes) connection.finish();
       return closes;
     };
-    const exchange = new HttpExchange(request, response, this.clock, expects, decideEnd);
+    const exchange = new HttpExchange(request, response, this.clock, expectsContinue, decideClose);
     slot.request = {
       onConnectionEnd: () => exchange.abandon(),
       giveUp: () => {
-        // What is left at the end of a stop here is cut with its connection.
+        // Requests that are left at the end of a stop are cut off with their connections.
       },
     };
-    this.newest.set(request.socket, exchange);
+    this.newestExchange.set(request.socket, exchange);
     return exchange;
   }
 
-  /** No further request is taken on a connection; it ends with the answers to those that were. */
+  /** Accepts no further requests on a connection; it closes after the answers to accepted ones. */
   finish(socket: Duplex): void {
     this.bySocket.get(socket)?.finish();
   }
 
   /**
-   * Whether bad input on a connection may be answered on it: nothing else is on its way, or
-   * only the request that the bad input is a part of, which is then given up. Otherwise the
-   * connection ends with the answers to the requests that were read on it.
+   * Returns whether bad input on a connection may be answered on it: no other request is
+   * unanswered, or only the one that contains the bad input, which is then abandoned. Otherwise
+   * the connection closes after the answers to the requests that were read on it.
    */
-  giveWay(socket: Duplex): boolean {
+  prepareErrorAnswer(socket: Duplex): boolean {
     const connection = this.bySocket.get(socket);
     if (connection === undefined || connection.unfinishedCount === 0) return true;
-    const newest = this.newest.get(socket);
+    const newest = this.newestExchange.get(socket);
     if (connection.unfinishedCount > 1 || newest?.awaitsRequest !== true) {
       connection.finish();
       return false;
@@ -237,7 +240,10 @@
 
 function toInputFailure(error: NodeJS.ErrnoException): Failure {
   if (error.code === 'ERR_HTTP_REQUEST_TIMEOUT') {
-    return createFailure(ResultCode.RequestReadTimeout, 'the head of the request is late');
+    return createFailure(
+      ResultCode.RequestReadTimeout,
+      'the head of the request was not received in time',
+    );
   }
   return createFailure(ResultCode.MalformedRequest, error.code ?? 'not HTTP');
 }
--- a/src/entry/entry-task.ts
+++ b/src/entry/entry-task.ts
@@ -1,6 +1,6 @@
 /**
- * The task that owns the callers' interface: it reads each request, has it routed and answers
- * it once. Messages bring exchanges in and change the phase of a planned stop.
+ * The task that owns the callers' interface: it reads each request, routes it and answers it
+ * once. Messages deliver exchanges and change the phase of a planned stop.
  */
 import { Result } from 'true-myth';
 import type { Classification, ConfigStore } from '../config/config-store.js';
@@ -23,12 +23,11 @@
 /** Serving; leaving (serves, and closes connections with their next answer); refusing. */
 export type EntryPhase = 'serving' | 'leaving' | 'refusing';
 
-/** Everything that the entry task is told. */
+/** Messages of the entry task. */
 export type EntryMessage =
   | { readonly type: 'exchange'; readonly exchange: HttpExchange }
   | { readonly type: 'phase'; readonly phase: EntryPhase };
 
-/** What the task works with. */
 export interface EntryTaskOptions {
   readonly nodeId: string;
   readonly mailboxCapacity: number;
@@ -47,7 +46,6 @@
 const DRAINING_RETRY_AFTER_MS = 200;
 const MAX_INPUT_CODE = 1_999;
 
-/** See the module comment. */
 export class EntryTask extends Task<EntryMessage> {
   private phase: EntryPhase = 'serving';
   private running = 0;
@@ -95,7 +93,7 @@
       return;
     }
     const result = await this.options.router.route(prepared.value.call, exchange.signal);
-    this.giveBack(prepared.value, result);
+    this.returnUnused(prepared.value, result);
     this.finish(exchange, prepared.value, result, received);
   }
 
@@ -142,11 +140,11 @@
     return exchange.readBody({ maxBytes: kind.maxRequestBytes, timeoutMs, reservation });
   }
 
-  /** Returns what a call below an attempt did not use, with the threshold that it saw. */
-  private giveBack({ call, parent }: PreparedCall, result: CallResult): void {
+  /** Returns attempts that a call below an attempt did not use, and reports its threshold. */
+  private returnUnused({ call, parent }: PreparedCall, result: CallResult): void {
     if (parent === undefined) return;
     const { tenant, service, kind } = call.context;
-    this.options.parents.giveBack(parent, {
+    this.options.parents.returnUnused(parent, {
       parentAttemptId: parent.parentAttemptId,
       unused: Math.max(0, call.attempts - result.attemptsUsed),
       service,
--- a/src/entry/http-exchange.ts
+++ b/src/entry/http-exchange.ts
@@ -1,4 +1,4 @@
-/** One HTTP request at the entry and its answer, on top of `node:http`'s objects. */
+/** One HTTP request at the entry and its answer, built on the objects of `node:http`. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { Result } from 'true-myth';
 import { hasBody } from '../core/answer-body.js';
@@ -9,20 +9,19 @@
 import type { Clock } from '../kernel/clock.js';
 
 /** Time for the rest of a refused request to arrive, before its connection is closed. */
-const LINGER_MS = 1_000;
+const LINGER_TIMEOUT_MS = 1_000;
 /** Bytes of a refused request that are read and dropped, before its connection is closed. */
-const LINGER_BYTES = 1_048_576;
-/** Time in which a caller must have taken the whole answer. */
+const MAX_LINGER_BYTES = 1_048_576;
+/** Time limit for a caller to receive the whole answer. */
 const ANSWER_WRITE_TIMEOUT_MS = 30_000;
 
-/** Limits of reading one body. */
+/** Limits for reading one body. */
 export interface BodyLimits {
   readonly maxBytes: number;
   readonly timeoutMs: number;
   readonly reservation: BufferReservation;
 }
 
-/** See the module comment. */
 export class HttpExchange {
   readonly method: string;
   /** Path with query. */
@@ -38,8 +37,8 @@
     private readonly response: ServerResponse,
     private readonly clock: Clock,
     private readonly expectsContinue: boolean,
-    /** Says whether the answer ends the connection, which it is told when it is given. */
-    private readonly decideEnd: (wantsClose: boolean) => boolean,
+    /** Called when the answer is sent; returns whether the connection closes after it. */
+    private readonly decideClose: (wantsClose: boolean) => boolean,
   ) {
     this.receivedAt = clock.now();
     this.method = request.method ?? '';
@@ -47,7 +46,7 @@
     this.path = target.path;
     this.headers = readHeaders(request.rawHeaders, target.host);
     request.on('error', () => {
-      // Reported by `close`; without a listener it would end the process.
+      // Reported by `close`. Without a listener, the error would end the process.
     });
     response.on('error', () => {
       this.abort.abort();
@@ -57,12 +56,12 @@
     });
   }
 
-  /** Whether the request is still arriving and nothing has been answered. */
+  /** Whether the request is still arriving and has not been answered. */
   get awaitsRequest(): boolean {
     return !this.request.complete && !this.response.headersSent && !this.abandoned;
   }
 
-  /** Gives the exchange up: its connection was answered and closed on a lower level. */
+  /** Ends the exchange without an answer: its connection is gone, or answered as bad input. */
   abandon(): void {
     this.abandoned = true;
     this.abort.abort();
@@ -73,18 +72,18 @@
     return this.abort.signal;
   }
 
-  /** Calls `listener` once, when the exchange is over for whatever reason. */
+  /** Calls `listener` once, when the exchange ends for any reason. */
   onClose(listener: () => void): void {
     this.response.once('close', listener);
   }
 
-  /** Declared length of the body; undefined when it comes in chunks, 0 when there is none. */
+  /** Declared length of the body; undefined when it is chunked, 0 when there is none. */
   declaredLength(): number | undefined {
     if (this.request.headers['transfer-encoding'] !== undefined) return undefined;
     return Number(this.request.headers['content-length'] ?? 0);
   }
 
-  /** Reads the whole body. Failures: 1004, 1006, 1007, 2010. */
+  /** Failures: `BodyTooLarge`, `BodyIncomplete`, `RequestReadTimeout`, `BufferExhausted`. */
   readBody(limits: BodyLimits): Promise<Result<Uint8Array, Failure>> {
     const declared = this.declaredLength();
     if (declared === 0) return Promise.resolve(Result.ok(new Uint8Array(0)));
@@ -97,13 +96,13 @@
     });
   }
 
-  /** Sends the whole answer; ignored when the caller is gone. */
+  /** Sends the whole answer. Does nothing when the caller is gone. */
   answer(answer: HttpAnswer, closeConnection: boolean): void {
     const { response, request } = this;
     if (this.abandoned || response.destroyed || response.headersSent) return;
     const headers = answer.headers.flatMap(([name, value]) => [name, value]);
     if (this.needsLength(answer)) headers.push('Content-Length', String(answer.body.length));
-    if (this.decideEnd(closeConnection)) headers.push('Connection', 'close');
+    if (this.decideClose(closeConnection)) headers.push('Connection', 'close');
     response.writeHead(answer.status, headers);
     response.end(this.method === 'HEAD' ? undefined : answer.body);
     this.limitWriteTime();
@@ -131,12 +130,12 @@
     const { request } = this;
     const { socket } = request;
     let dropped = 0;
-    const cancel = this.clock.schedule(LINGER_MS, () => {
+    const cancel = this.clock.schedule(LINGER_TIMEOUT_MS, () => {
       socket.destroy();
     });
     request.on('data', (chunk: Buffer) => {
       dropped += chunk.length;
-      if (dropped > LINGER_BYTES) socket.destroy();
+      if (dropped > MAX_LINGER_BYTES) socket.destroy();
     });
     request.once('close', cancel);
     request.once('end', cancel);
@@ -160,7 +159,7 @@
 
   start(): void {
     this.cancelTimer = this.clock.schedule(this.limits.timeoutMs, () => {
-      const detail = `the body was not there after ${this.limits.timeoutMs} ms`;
+      const detail = `request body not received within ${this.limits.timeoutMs} ms`;
       this.fail(createFailure(ResultCode.RequestReadTimeout, detail));
     });
     this.request.on('data', (chunk: Buffer) => {
@@ -170,7 +169,12 @@
       this.finish(Result.ok(this.join()));
     });
     this.request.on('close', () => {
-      this.fail(createFailure(ResultCode.BodyIncomplete, 'the connection ended in the body'));
+      this.fail(
+        createFailure(
+          ResultCode.BodyIncomplete,
+          'the connection closed before the end of the request body',
+        ),
+      );
     });
   }
 
@@ -209,7 +213,7 @@
 }
 
 function tooLarge(maxBytes: number): Failure {
-  return createFailure(ResultCode.BodyTooLarge, `more than ${maxBytes} bytes`);
+  return createFailure(ResultCode.BodyTooLarge, `request body exceeds ${maxBytes} bytes`);
 }
 
 /** Splits an absolute request target (RFC 9112, section 3.2.2) into host and path. */
@@ -220,7 +224,7 @@
   return { host: match[1] ?? '', path: rest.startsWith('/') ? rest : `/${rest}` };
 }
 
-/** Pairs the raw fields up; the host of an absolute request target replaces the Host field. */
+/** Pairs raw names with values; the host of an absolute request target replaces the Host field. */
 function readHeaders(raw: readonly string[], host: string | undefined): HeaderFields {
   const headers: [string, string][] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
--- a/src/entry/idempotency-key.ts
+++ b/src/entry/idempotency-key.ts
@@ -20,13 +20,13 @@
     .replace(/^"(.*)"$/, '$1')
     .toLowerCase();
   if (!UUID_V7.test(key)) {
-    return Result.err(createFailure(ResultCode.InvalidField, 'Idempotency-Key is no UUIDv7'));
+    return Result.err(createFailure(ResultCode.InvalidField, 'Idempotency-Key is not a UUIDv7'));
   }
   return Result.ok(key);
 }
 
 function withoutKey(kind: KindRules): Result<string | undefined, Failure> {
   if (kind.idempotent) return Result.ok(undefined);
-  const detail = `requests of kind ${kind.name} may take effect at most once`;
+  const detail = `kind ${kind.name} needs a key: its requests may take effect at most once`;
   return Result.err(createFailure(ResultCode.IdempotencyKeyRequired, detail));
 }
--- a/src/entry/idempotency.test.ts
+++ b/src/entry/idempotency.test.ts
@@ -8,7 +8,7 @@
 import { answerPlain, type ScriptedBackend } from '../../test/support/scripted-backend.js';
 
 const UUID_V7 = '018f0000-0000-7000-8000-000000000001';
-/** The bound of the kind of `/promises` in the contract's rules. */
+/** Attempt bound of the kind of `/promises` in the contract's rules. */
 const PROMISE_ATTEMPTS = 2;
 
 let contract: EntryContract;
@@ -56,17 +56,17 @@
       headers: { 'Idempotency-Key': `"${key}"` },
     };
     assert.equal((await send(request)).status, status);
-    const repeat = await send(request);
-    assert.equal(repeat.headers['sillshore-replayed'], replays ? 'true' : undefined);
+    const retry = await send(request);
+    assert.equal(retry.headers['sillshore-replayed'], replays ? 'true' : undefined);
     const code = replays ? undefined : String(ResultCode.OutcomeUnknown);
-    assert.equal(repeat.headers['sillshore-result'], code);
+    assert.equal(retry.headers['sillshore-result'], code);
     assert.equal(backend.seen.length - seenBefore, 1);
     const other = await send({ ...request, body: 'another body' });
     assert.equal(other.headers['sillshore-result'], String(ResultCode.IdempotencyKeyReused));
   });
 }
 
-test('a non-idempotent request refused by the back end itself is tried again under its claim', async () => {
+test('a non-idempotent request refused by the back end itself is retried under its claim', async () => {
   let refusals = 1;
   backend.setScript((request) => {
     refusals -= 1;
@@ -82,7 +82,7 @@
   assert.deepEqual([answer.status, answer.body], [200, path]);
 });
 
-test('a caller that goes away gets the answer of its non-idempotent request by a repeat', async () => {
+test('a caller that goes away gets the answer of its non-idempotent request by a retry', async () => {
   const abort = new AbortController();
   let answerNow: () => void = () => undefined;
   const arrived = new Promise<void>((resolve) => {
@@ -102,12 +102,12 @@
   const early = await send(request);
   assert.equal(early.headers['sillshore-result'], String(ResultCode.RequestInProgress));
   answerNow();
-  let repeat = await send(request);
-  while (repeat.status === 409) repeat = await send(request);
-  assert.deepEqual([repeat.body, repeat.headers['sillshore-replayed']], ['/promises/4', 'true']);
+  let retry = await send(request);
+  while (retry.status === 409) retry = await send(request);
+  assert.deepEqual([retry.body, retry.headers['sillshore-replayed']], ['/promises/4', 'true']);
 });
 
-test('no dispatch after the time that the claim allows', async () => {
+test('no dispatch after the time limit of the claim', async () => {
   contract.fleet.claims.notAfterMs = -1;
   const seenBefore = backend.seen.length;
   const headers = { 'Idempotency-Key': `${UUID_V7.slice(0, -1)}5` };
@@ -118,12 +118,12 @@
   assert.equal(backend.seen.length, seenBefore);
 });
 
-/** Guards against repeats that are refused for good after refusals that ran nothing. */
-test('a non-idempotent request that was not run keeps its attempts for a repeat', async () => {
+/** Guards against retries that are refused for good because earlier refusals used up the attempts. */
+test('a non-idempotent request that was not run keeps its attempts for a retry', async () => {
   contract.fleet.claims.notAfterMs = -1;
   const headers = { 'Idempotency-Key': `${UUID_V7.slice(0, -2)}11` };
   const request = { port: node.entryPort, method: 'POST', path: '/promises/5', headers };
-  for (let repeat = 0; repeat < PROMISE_ATTEMPTS; repeat += 1) {
+  for (let count = 0; count < PROMISE_ATTEMPTS; count += 1) {
     assert.equal((await send(request)).headers['sillshore-execution'], 'not-run');
   }
   contract.fleet.claims.notAfterMs = 5_000;
@@ -131,11 +131,11 @@
   assert.deepEqual([answer.status, answer.headers['sillshore-result']], [200, undefined]);
 });
 
-test('repeats of one idempotent request share its attempts', async () => {
+test('retries of one idempotent request share its attempts', async () => {
   const headers = { 'Idempotency-Key': `${UUID_V7.slice(0, -1)}6` };
   const seenBefore = backend.seen.length;
   const codes: unknown[] = [];
-  for (let repeat = 0; repeat < 4; repeat += 1) {
+  for (let count = 0; count < 4; count += 1) {
     const answer = await send({ port: node.entryPort, path: '/steps/key', headers });
     codes.push(answer.headers['sillshore-result']);
   }
@@ -144,7 +144,7 @@
   assert.equal(backend.seen.length - seenBefore, 2);
 });
 
-test('repeats of a non-idempotent request that back ends refuse share its attempts', async () => {
+test('retries of a non-idempotent request that back ends refuse share its attempts', async () => {
   backend.setScript((request) => {
     request.socket.write(
       'HTTP/1.1 503 No\r\nBackend-State: overloaded\r\nContent-Length: 0\r\n\r\n',
@@ -153,7 +153,7 @@
   const headers = { 'Idempotency-Key': `${UUID_V7.slice(0, -1)}9` };
   const seenBefore = backend.seen.length;
   let last: unknown;
-  for (let repeat = 0; repeat < 6; repeat += 1) {
+  for (let count = 0; count < 6; count += 1) {
     const path = '/promises/shed';
     const answer = await send({ port: node.entryPort, method: 'POST', path, headers });
     assert.equal(answer.headers['sillshore-execution'], 'not-run');
@@ -164,18 +164,18 @@
   backend.setScript(answerPlain);
 });
 
-test('a refusal costs nothing of the attempts that repeats share', async () => {
+test('a refusal uses none of the attempts that retries share', async () => {
   const headers = { 'Idempotency-Key': `${UUID_V7.slice(0, -1)}8` };
   const path = '/steps/refused';
   backend.setScript(() => undefined);
   const busy = Array.from({ length: 4 }, () => send({ port: node.entryPort, path: '/steps/busy' }));
   await new Promise((resolve) => setTimeout(resolve, 50));
   const short = { ...headers, 'Sillshore-Timeout': '20' };
-  const repeats = Array.from({ length: 4 }, () =>
+  const retries = Array.from({ length: 4 }, () =>
     send({ port: node.entryPort, path, headers: short }),
   );
   const codes = [ResultCode.DeadlineExceeded, ResultCode.AttemptsExhausted].map(String);
-  for (const refused of await Promise.all(repeats)) {
+  for (const refused of await Promise.all(retries)) {
     assert.equal(refused.headers['sillshore-execution'], 'not-run');
     assert.ok(codes.includes(String(refused.headers['sillshore-result'])));
   }
--- a/src/entry/parent-ledger.ts
+++ b/src/entry/parent-ledger.ts
@@ -1,4 +1,4 @@
-/** Attempts for calls made by back ends, from the node that holds the parent's ledger. */
+/** Reserves attempts for calls by back ends at the node that holds the parent's ledger. */
 import { Result } from 'true-myth';
 import type { ConfigStore } from '../config/config-store.js';
 import { createFailure, type Failure } from '../core/failure.js';
@@ -18,7 +18,7 @@
 const LEDGER_CALL_TIMEOUT_MS = 500;
 const RETRY_AFTER_MS = 100;
 
-/** A parent as the baggage names it. */
+/** Parent attempt and the node that holds its ledger, as named by the baggage. */
 export interface ParentReference {
   readonly parentAttemptId: string;
   readonly nodeId: string;
@@ -34,7 +34,7 @@
   readonly deadline: number;
 }
 
-/** Reserves attempts below running attempts, here or at another node. */
+/** Access to the ledgers of running attempts, at this node or at another one. */
 export class ParentLedger {
   constructor(
     private readonly nodeId: string,
@@ -51,24 +51,24 @@
       service: call.service.name,
       kindAttempts: call.kind.attempts,
     };
-    const asked = this.clock.now();
-    const reply = await this.ask(parent.nodeId, message);
+    const requestedAt = this.clock.now();
+    const reply = await this.requestReservation(parent.nodeId, message);
     if (reply.isErr) return Result.err(reply.error);
-    return checkReply(reply.value, call, asked);
+    return checkReply(reply.value, call, requestedAt);
   }
 
-  /** Gives back what a call did not use, and tells the threshold that it saw. */
-  giveBack(parent: ParentReference, message: ReturnAttemptsMessage): void {
+  /** Returns attempts that a call did not use, and reports the threshold that it saw. */
+  returnUnused(parent: ParentReference, message: ReturnAttemptsMessage): void {
     if (this.isLocal(parent.nodeId)) {
       returnFromCall(this.dispatcher, message);
       return;
     }
     const options = { timeoutMs: LEDGER_CALL_TIMEOUT_MS };
-    // A lost return leaves the attempts counted as spent.
+    // If the message is lost, the attempts stay counted as spent.
     void this.peers.call(parent.nodeId, 'returnAttempts', message, options);
   }
 
-  private async ask(
+  private async requestReservation(
     nodeId: string,
     message: ReserveAttemptsMessage,
   ): Promise<Result<ReserveAttemptsReply, Failure>> {
@@ -79,7 +79,7 @@
     const options = { timeoutMs: LEDGER_CALL_TIMEOUT_MS };
     const reply = await this.peers.call(nodeId, 'reserveAttempts', message, options);
     return reply.mapErr(({ detail }) => {
-      const text = `ledger of ${nodeId} not reached: ${detail}`;
+      const text = `attempt ledger of node ${nodeId} not reached: ${detail}`;
       const failureOptions = { execution: 'not-run', retryAfterMs: RETRY_AFTER_MS } as const;
       return createFailure(ResultCode.PeerUnreachable, text, failureOptions);
     });
@@ -93,7 +93,7 @@
 function checkReply(
   reply: ReserveAttemptsReply,
   call: InboundCall,
-  asked: number,
+  requestedAt: number,
 ): Result<Reservation, Failure> {
   if (!reply.found || reply.tenant !== call.context.tenant) {
     const detail = 'the attempt named in the baggage field is unknown or has ended';
@@ -104,6 +104,6 @@
     return Result.err(createFailure(ResultCode.AttemptsExhausted, detail));
   }
   const { granted, requestId, criticality, depth } = reply;
-  const deadline = asked + reply.deadlineInMs;
+  const deadline = requestedAt + reply.deadlineInMs;
   return Result.ok({ granted, requestId, criticality, depth, deadline });
 }
--- a/src/entry/planned-stop.test.ts
+++ b/src/entry/planned-stop.test.ts
@@ -1,4 +1,4 @@
-/** Leaving targets and planned stops: no new work where it may not go, no request cut off. */
+/** Leaving targets and planned stops: no new work for leaving targets, no request cut off. */
 import assert from 'node:assert/strict';
 import { Agent } from 'node:http';
 import { afterEach, beforeEach, test } from 'node:test';
@@ -52,7 +52,7 @@
   await second.close();
 });
 
-/** Waits until the near node refuses what callers send. */
+/** Waits until the near node refuses requests of callers. */
 async function waitForRefusal(): Promise<void> {
   while ((await send({ port: near.entryPort, path: '/new' })).status === 200) {
     await new Promise((resolve) => setTimeout(resolve, 20));
@@ -61,7 +61,7 @@
 
 const DRAINING = 'Backend-State: draining\r\n';
 
-test('an answer that says draining ends new work at once, on all nodes', async () => {
+test('an answer that says draining stops new work for its target at once, on all nodes', async () => {
   first.setScript(({ socket }) => {
     socket.write(`HTTP/1.1 200 OK\r\n${DRAINING}Content-Length: 2\r\n\r\nok`);
   });
@@ -74,7 +74,7 @@
 });
 
 test('a target that the list of machines shows as leaving gets no new work from any node', async () => {
-  // The list is read by another node than the one that fronts the target.
+  // The node that reads the list is not the one that fronts the target.
   const leaving = far.container.get(Token.LeavingTargets);
   leaving.set('machine-list', ['guide-1']);
   await new Promise((resolve) => setTimeout(resolve, 2 * REFRESH_INTERVAL_MS));
@@ -86,7 +86,7 @@
   assert.deepEqual(far.container.get(Token.Membership).self().leavingTargets, []);
 });
 
-test('a refusal that says draining is repeated elsewhere; waiting requests go elsewhere too', async () => {
+test('a request refused as draining is retried elsewhere, and waiting requests go elsewhere too', async () => {
   const held: (() => void)[] = [];
   first.setScript(({ socket }) => {
     held.push(() => socket.write(`HTTP/1.1 503 No\r\n${DRAINING}Content-Length: 0\r\n\r\n`));
@@ -101,7 +101,7 @@
   assert.equal(first.seen.length, 2);
 });
 
-test('a planned stop under load cuts off nothing, keep-alive callers included', async () => {
+test('a planned stop under load cuts off no request, keep-alive connections included', async () => {
   const slow = (backend: ScriptedBackend): void => {
     backend.setScript((request) => setTimeout(() => answerPlain(request), 30));
   };
@@ -115,7 +115,7 @@
   const caller = async (name: string): Promise<void> => {
     for (let count = 0; !stopped; count += 1) {
       const path = `/${name}-${count}`;
-      // The near node is stopped: callers use it until it says so, then the other one.
+      // The near node is being stopped: callers leave it once an answer closes a connection.
       const index = answers.some(({ headers }) => headers.connection === 'close') ? 1 : 0;
       const port = ports[index] ?? 0;
       const agent = agents[index] ?? new Agent();
--- a/src/entry/routed-call.ts
+++ b/src/entry/routed-call.ts
@@ -1,4 +1,4 @@
-/** One call from its admission to its final result: claim, tries, retries. */
+/** One call from its admission to its final result: claim, attempts, retries. */
 import type { AttemptFailure, AttemptResult } from '../core/attempt.js';
 import { createFailure, type Failure } from '../core/failure.js';
 import type { Refusal, ServiceRouter } from '../core/overload.js';
@@ -9,13 +9,12 @@
 import type { ClaimGuard } from './claim-guard.js';
 import type { TargetCaller } from './target-caller.js';
 
-/** Bound on tries of one call at one hop; refusals by targets cost no attempts. */
-const MAX_TRIES = 16;
+/** Bounds the attempts of one call at one hop, because refusals by targets cost no attempts. */
+const MAX_ATTEMPTS_PER_HOP = 16;
 
 /** Signal of attempts that are not cancelled. */
 const NEVER_ABORTED = new AbortController().signal;
 
-/** What one call works with. */
 export interface RoutedCallOptions {
   readonly call: InboundCall;
   readonly signal: AbortSignal;
@@ -28,10 +27,9 @@
   readonly claim?: ClaimGuard;
 }
 
-/** See the module comment. */
 export class RoutedCall {
   private readonly tried: string[] = [];
-  /** Whether an earlier try may have taken effect. */
+  /** Whether an earlier attempt may have taken effect. */
   private mayHaveRun = false;
   private notAfter: number | undefined;
 
@@ -42,27 +40,27 @@
     const { router, call, clock, claim } = this.options;
     const refusal = router.admit(clock.now(), call.context);
     if (refusal !== undefined) return this.refuse(refusal);
-    if (claim === undefined) return this.tryAndRelease();
+    if (claim === undefined) return this.attemptAndRelease();
     const outcome = await claim.claim();
     if (outcome.type === 'final') return outcome.result;
     this.notAfter = outcome.notAfter;
-    const result = await this.tryAndRelease();
+    const result = await this.attemptAndRelease();
     claim.settle(result);
     return result;
   }
 
-  /** Gives unused attempts back before the claim, because a repeat needs both. */
-  private async tryAndRelease(): Promise<CallResult> {
-    const result = await this.tryUntilEnd();
+  /** Releases unused attempts before the claim is settled, because a caller's retry needs both. */
+  private async attemptAndRelease(): Promise<CallResult> {
+    const result = await this.attemptUntilEnd();
     this.options.attempts.release();
     return result;
   }
 
-  private async tryUntilEnd(): Promise<CallResult> {
+  private async attemptUntilEnd(): Promise<CallResult> {
     for (;;) {
       const ended = this.checkEnd();
       if (ended !== undefined) return this.fail(ended);
-      const result = await this.tryOnce();
+      const result = await this.attemptOnce();
       if (result.type === 'final') return result.result;
       const final = await this.afterFailure(result.failure);
       if (final !== undefined) return final;
@@ -73,12 +71,12 @@
     const { signal, clock, call } = this.options;
     if (signal.aborted) return createFailure(ResultCode.Cancelled, 'the caller went away');
     if (clock.now() >= call.context.deadline) {
-      return createFailure(ResultCode.DeadlineExceeded, 'the time of the request has passed');
+      return createFailure(ResultCode.DeadlineExceeded, 'the deadline of the request has passed');
     }
     return undefined;
   }
 
-  private async tryOnce(): Promise<TryEnd> {
+  private async attemptOnce(): Promise<AttemptEnd> {
     const { router, call, clock, attempts } = this.options;
     const picked = router.pick(clock.now(), call.context, this.tried);
     if (picked.type === 'refuse') return finalEnd(this.refuse(picked.refusal));
@@ -105,7 +103,7 @@
     };
     const { notAfter } = this;
     if (notAfter === undefined) return caller.call(attempt, this.options.signal);
-    // It takes effect once only: it goes on without its caller, whose repeat gets the answer.
+    // It may take effect only once: it continues without its caller, whose retry gets the answer.
     return caller.call({ ...attempt, notAfter }, NEVER_ABORTED);
   }
 
@@ -122,15 +120,16 @@
     });
   }
 
-  /** Waits for the next try, or gives the final result. */
+  /** Waits until the next attempt, or returns the final result. */
   private async afterFailure(result: AttemptFailure): Promise<CallResult | undefined> {
     const { router, call, clock, attempts, signal } = this.options;
     const { failure } = result;
     const mayHaveRun = failure.execution !== 'not-run';
     this.mayHaveRun ||= mayHaveRun;
-    const mayRepeat = call.context.idempotent || !mayHaveRun;
-    const over = signal.aborted || attempts.remaining < 1 || this.tried.length >= MAX_TRIES;
-    if (!mayRepeat || over) return this.fail(failure);
+    const mayRetry = call.context.idempotent || !mayHaveRun;
+    const noFurtherAttempt =
+      signal.aborted || attempts.remaining < 1 || this.tried.length >= MAX_ATTEMPTS_PER_HOP;
+    if (!mayRetry || noFurtherAttempt) return this.fail(failure);
     const decision = router.decideRetry(clock.now(), call.context, {
       attemptsMade: this.tried.length,
       attemptsLeft: attempts.remaining,
@@ -161,7 +160,7 @@
     });
   }
 
-  /** The last failure says more than why there is no further try; the retry time is the latter's. */
+  /** Reports the last failure, which says more than the refusal, with the later retry time. */
   private giveUp(failure: Failure, refusal: Refusal): CallResult {
     const retryAfterMs = Math.max(failure.retryAfterMs ?? 0, refusal.retryAfterMs);
     const detail = `${failure.detail}; no further attempt: ${refusal.detail}`;
@@ -173,7 +172,7 @@
     return this.fail(createFailure(code, detail, { execution: 'not-run', retryAfterMs }));
   }
 
-  /** What is known of the whole call, not only of its last try. */
+  /** Fails with what is known about the whole call, not only about its last attempt. */
   private fail(failure: Failure): CallResult {
     const execution = this.executionAfter(failure);
     const { attemptsUsed } = this.options.attempts;
@@ -186,11 +185,11 @@
   }
 }
 
-/** End of one try: the call's result, or a failure that may be followed by another try. */
-type TryEnd =
+/** End of one attempt: the call's result, or a failure that another attempt may follow. */
+type AttemptEnd =
   | { readonly type: 'final'; readonly result: CallResult }
   | { readonly type: 'failed'; readonly failure: AttemptFailure };
 
-function finalEnd(result: CallResult): TryEnd {
+function finalEnd(result: CallResult): AttemptEnd {
   return { type: 'final', result };
 }
--- a/src/entry/service-call-router.ts
+++ b/src/entry/service-call-router.ts
@@ -17,7 +17,6 @@
 import { RoutedCall } from './routed-call.js';
 import type { TargetCaller } from './target-caller.js';
 
-/** What the router works with. */
 export interface ServiceCallRouterOptions {
   readonly settings: Settings;
   readonly config: ConfigStore;
@@ -27,13 +26,12 @@
   readonly caller: TargetCaller;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Differs from start to start, so that attempt ids never repeat. */
+  /** Differs at each start of the node, so that attempt ids are never reused. */
   readonly incarnation: string;
   /** Seed of the routers' random numbers. */
   readonly seed: number;
 }
 
-/** See the module comment. */
 export class ServiceCallRouter implements CallRouter {
   private readonly routers = new Map<string, ServiceRouter>();
   private readonly needs = new Map<string, number>();
@@ -59,7 +57,7 @@
     }
   }
 
-  /** Admission threshold of a kind as this node sees it, 0 when it has not been called. */
+  /** Admission threshold of a kind as this node sees it, 0 when the service was not called. */
   thresholdOf(tenant: string, service: string, kind: string): number {
     const router = this.routers.get(keyOf(tenant, service));
     return router?.threshold(this.options.clock.now(), kind) ?? 0;
--- a/src/entry/target-caller.ts
+++ b/src/entry/target-caller.ts
@@ -1,4 +1,4 @@
-/** One attempt at one target, whichever node fronts it. */
+/** Sends one attempt to its target, whichever node fronts it. */
 import type { AttemptResult, TargetAttempt } from '../core/attempt.js';
 import { createFailure, type Failure } from '../core/failure.js';
 import type { AttemptOutcome } from '../core/request.js';
@@ -11,7 +11,7 @@
 
 /** The target side gives up this much earlier than the entry, so that its result arrives. */
 const LINK_MARGIN_MS = 10;
-/** Part of the time left that the margin may take at most. */
+/** Largest share of the time left that the margin may take. */
 const LINK_MARGIN_SHARE = 0.1;
 
 /** Sends attempts to the local dispatcher or to the node that fronts the target. */
@@ -27,7 +27,7 @@
   /** Never rejects. */
   async call(attempt: TargetAttempt, signal: AbortSignal): Promise<AttemptResult> {
     const node = this.placement.nodeFor(attempt.target);
-    if (node === undefined) return noNode(attempt.target);
+    if (node === undefined) return noFrontingNode(attempt.target);
     if (node === this.nodeId) return this.dispatcher.dispatch(attempt, signal);
     return this.callPeer(node, attempt, signal);
   }
@@ -48,7 +48,7 @@
   }
 }
 
-/** Outcomes of failures of the link; all others count as failed. */
+/** Outcomes of link failures; all others count as `failed`. */
 const LINK_OUTCOMES: ReadonlyMap<ResultCode, AttemptOutcome> = new Map([
   [ResultCode.PeerUnreachable, 'unreachable'],
   [ResultCode.MailboxFull, 'overloaded'],
@@ -61,13 +61,17 @@
   signal: AbortSignal,
 ): AttemptResult {
   const outcome = signal.aborted ? 'cancelled' : (LINK_OUTCOMES.get(failure.code) ?? 'failed');
-  // Without a reply nobody knows what was used below: all that was granted counts as spent.
+  // Without a reply the attempts used below are unknown, so all granted attempts count as spent.
   const attemptsUsed = failure.execution === 'not-run' ? 0 : attempt.attemptsGranted;
   return { type: 'failure', outcome, failure, attemptsUsed };
 }
 
-function noNode(target: string): AttemptResult {
+function noFrontingNode(target: string): AttemptResult {
   const options = { execution: 'not-run', retryAfterMs: 500 } as const;
-  const failure = createFailure(ResultCode.NoTargetAvailable, `no node for ${target}`, options);
+  const failure = createFailure(
+    ResultCode.NoTargetAvailable,
+    `no node fronts target ${target}`,
+    options,
+  );
   return { type: 'failure', outcome: 'unreachable', failure, attemptsUsed: 0 };
 }
