--- a/src/target/answer-size-estimate.ts
+++ b/src/target/answer-size-estimate.ts
@@ -1,11 +1,11 @@
-/** How many bytes the next answer of a target will probably need in the node's buffer. */
+/** Estimates how many bytes of the node's buffer the next answer of a target needs. */
 
-/** Used until answers have been seen. */
+/** Estimate before the first answer. */
 const FIRST_ESTIMATE_BYTES = 16 * 1024;
-/** Share of the old estimate that an answer which is smaller leaves. */
+/** Factor by which each smaller answer lowers the estimate. */
 const DECAY = 0.98;
 
-/** Follows the largest answers: up at once, down slowly. */
+/** Follows the largest answers: rises at once, falls slowly. */
 export class AnswerSizeEstimate {
   private estimate = FIRST_ESTIMATE_BYTES;
 
@@ -14,7 +14,7 @@
     return Math.ceil(this.estimate);
   }
 
-  /** Takes one answer's size in. */
+  /** Records the size of one answer. */
   note(bytes: number): void {
     this.estimate = Math.max(bytes, this.estimate * DECAY);
   }
--- a/src/target/attempt-codec.ts
+++ b/src/target/attempt-codec.ts
@@ -1,4 +1,4 @@
-/** Attempts and their results as messages between nodes: times become durations and back. */
+/** Encodes and decodes attempts and results as messages between nodes; times become durations. */
 import { Result } from 'true-myth';
 import { z } from 'zod';
 import type { AttemptResult, TargetAttempt } from '../core/attempt.js';
@@ -47,7 +47,7 @@
   return Result.err(createFailure(ResultCode.FrameMalformed, detail));
 }
 
-/** An attempt for another node. */
+/** Encodes an attempt for another node. */
 export function encodeAttempt(attempt: TargetAttempt, now: number): AttemptMessage {
   const { context, request, notAfter } = attempt;
   const message = {
@@ -71,9 +71,9 @@
 }
 
 /**
- * An attempt from another node.
+ * Decodes an attempt from another node.
  *
- * @param now local monotonic time of the arrival
+ * @param now local monotonic time of arrival
  */
 export function decodeAttempt(message: AttemptMessage, now: number): TargetAttempt {
   const { requestId, tenant, service, kind, criticality, idempotent, depth } = message;
@@ -89,7 +89,7 @@
   return notAfterInMs === undefined ? attempt : { ...attempt, notAfter: now + notAfterInMs };
 }
 
-/** The result of an attempt for the node that asked. */
+/** Encodes the result of an attempt for the node that sent it. */
 export function encodeResult(result: AttemptResult): AttemptReply {
   const { outcome, attemptsUsed } = result;
   const end = result.load === undefined ? {} : { load: result.load };
@@ -100,7 +100,7 @@
   return { outcome, attemptsUsed, ...end, failure };
 }
 
-/** The result that another node gave. */
+/** Decodes a result from another node. */
 export function decodeResult(reply: AttemptReply): AttemptResult {
   const { outcome, attemptsUsed, answer, failure, load } = reply;
   const end = load === undefined ? { outcome, attemptsUsed } : { outcome, attemptsUsed, load };
--- a/src/target/attempt-ledger-codec.ts
+++ b/src/target/attempt-ledger-codec.ts
@@ -1,4 +1,4 @@
-/** Checks of the received ledger calls. */
+/** Validates received ledger calls. */
 import type { Result } from 'true-myth';
 import { z } from 'zod';
 import type { Failure } from '../core/failure.js';
@@ -21,12 +21,12 @@
   threshold: z.number().min(0).max(1),
 });
 
-/** Checks a received reservation. */
+/** Checks a received request for attempts. */
 export function validateReserveMessage(value: unknown): Result<ReserveAttemptsMessage, Failure> {
   return validateMessage(value, reserveSchema);
 }
 
-/** Checks a received return. */
+/** Checks a received return of attempts. */
 export function validateReturnMessage(value: unknown): Result<ReturnAttemptsMessage, Failure> {
   return validateMessage(value, returnSchema);
 }
--- a/src/target/attempt-ledger-messages.ts
+++ b/src/target/attempt-ledger-messages.ts
@@ -1,21 +1,21 @@
 /**
- * Calls to the node that holds the ledger of a running attempt, made by the node that a back
- * end sent its next call to.
+ * Calls to the node that holds the ledger of a running attempt, made by the node to which a back
+ * end sent its next call.
  */
 import type { Criticality } from '../core/request.js';
 
-/** Asks for attempts for a call of `service`, and for the context that the call inherits. */
+/** Requests attempts for a call to `service`, and the context that the call inherits. */
 export interface ReserveAttemptsMessage {
   readonly parentAttemptId: string;
   /** Service that is called. */
   readonly service: string;
-  /** Bound of the called kind. */
+  /** Attempt bound of the called kind. */
   readonly kindAttempts: number;
 }
 
-/** What a call below a running attempt inherits. Durations instead of times: clocks differ. */
+/** Context that a call inherits. Contains durations instead of times, because clocks differ. */
 export interface ReserveAttemptsReply {
-  /** Whether the parent attempt runs here; otherwise the other members say nothing. */
+  /** Whether the parent attempt runs here; if not, the other members have no meaning. */
   readonly found: boolean;
   readonly granted: number;
   readonly requestId: string;
@@ -25,7 +25,7 @@
   readonly deadlineInMs: number;
 }
 
-/** Gives back attempts that were reserved and not used, and tells the threshold seen below. */
+/** Returns attempts that were reserved and not used, and reports the threshold seen below. */
 export interface ReturnAttemptsMessage {
   readonly parentAttemptId: string;
   readonly unused: number;
--- a/src/target/attempt-reservation.ts
+++ b/src/target/attempt-reservation.ts
@@ -18,7 +18,7 @@
   deadlineInMs: 0,
 };
 
-/** The services that a service calls, by the rules of a tenant. */
+/** The services that each service calls, by the rules of a tenant. */
 export function callGraphOf(config: ConfigStore, tenant: string): CallGraph {
   return (service) => config.findService(tenant, service)?.calls ?? [];
 }
@@ -52,7 +52,7 @@
   };
 }
 
-/** Takes unused attempts back and notes the threshold that the call saw. */
+/** Returns unused attempts to the ledger and records the threshold that the call saw. */
 export function returnFromCall(dispatcher: TargetDispatcher, message: ReturnAttemptsMessage): void {
   const { parentAttemptId, unused, service, threshold } = message;
   dispatcher.returnAttempts(parentAttemptId, unused);
--- a/src/target/backend-client.ts
+++ b/src/target/backend-client.ts
@@ -1,25 +1,25 @@
-/** Calls to back ends over HTTP; the HTTP library hides behind this interface. */
+/** Calls to back ends over HTTP. This interface hides the HTTP library. */
 import type { Failure } from '../core/failure.js';
 import type { HttpAnswer, HttpRequest } from '../core/http-message.js';
 
 /** Limits of one call. */
 export interface BackendCallLimits {
-  /** Milliseconds until the call is given up. */
+  /** Time limit of the call. */
   readonly timeoutMs: number;
   readonly maxAnswerBytes: number;
   /** Aborts the call; the connection is closed. */
   readonly signal: AbortSignal;
-  /** Asked right before the first byte is sent, once a connection is there; false: not run. */
+  /** Called on an open connection, right before the first byte is sent; false: not run. */
   mayStart(): boolean;
-  /** Takes `bytes` of the answer into the node's buffer budget; false gives the call up. */
-  takeBuffer(bytes: number): boolean;
+  /** Reserves `bytes` of the node's buffer budget for the answer; false fails the call. */
+  reserveBuffer(bytes: number): boolean;
 }
 
 /** Why no complete answer came. */
 export type BackendErrorCause =
   /** No connection; nothing was sent. */
   | 'unreachable'
-  /** `mayStart` gave the call up; nothing was sent. */
+  /** `mayStart` withdrew the call; nothing was sent. */
   | 'withdrawn'
   /** Reset, truncated or malformed. */
   | 'failed'
@@ -43,11 +43,11 @@
 export interface BackendClient {
   /** Never rejects. */
   call(request: HttpRequest, limits: BackendCallLimits): Promise<BackendResult>;
-  /** Closes idle connections; running calls end by themselves. */
+  /** Closes idle connections; running calls run to their end. */
   close(): void;
 }
 
-/** Makes the client of one back end. */
+/** Creates the client of one back end. */
 export type BackendClientFactory = (options: BackendClientOptions) => BackendClient;
 
 /** Parameters of a back end's client. */
--- a/src/target/backend-contract.test.ts
+++ b/src/target/backend-contract.test.ts
@@ -1,6 +1,6 @@
 /**
- * Contract of the link to back ends: whatever a back end does, the caller gets the complete own
- * answer or one numbered failure, and the next request is fine.
+ * Contract of calls to back ends: whatever a back end does, the caller gets its own complete
+ * answer or one failure with a result code, and the next request is served.
  */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
@@ -63,7 +63,7 @@
     execution: 'unknown',
   },
   {
-    name: 'no length at all: the end cannot be told from a cut',
+    name: 'no length at all: a complete answer cannot be told from a truncated one',
     script: replyWith(`${OK}Connection: close\r\n\r\nmaybe all`, true),
     code: ResultCode.AnswerIncomplete,
     execution: 'unknown',
--- a/src/target/backend-dispatch.ts
+++ b/src/target/backend-dispatch.ts
@@ -1,4 +1,4 @@
-/** One admitted attempt on its way to the back end: request, limits and buffer. */
+/** Sends admitted attempts to their back end, with their limits and buffer. */
 import type { TargetAttempt } from '../core/attempt.js';
 import type { BufferReservation } from '../core/byte-budget.js';
 import { withBaggage } from '../core/call-baggage.js';
@@ -7,12 +7,11 @@
 import type { BackendClient, BackendResult } from './backend-client.js';
 import type { OfferMessage } from './target-messages.js';
 
-/** Whether the first byte of an attempt's request may still reach the back end. */
+/** Whether the first byte of an attempt's request may still be sent to the back end. */
 export function mayStart({ context, notAfter }: TargetAttempt, now: number): boolean {
   return now < context.deadline && (notAfter === undefined || now <= notAfter);
 }
 
-/** Sends attempts to one back end. */
 export class BackendDispatch {
   constructor(
     private readonly nodeId: string,
@@ -30,7 +29,7 @@
       maxAnswerBytes,
       signal,
       mayStart: () => mayStart(attempt, this.clock.now()),
-      takeBuffer: (bytes) => {
+      reserveBuffer: (bytes) => {
         buffered += bytes;
         return reservation.cover(buffered);
       },
--- a/src/target/backend-result.ts
+++ b/src/target/backend-result.ts
@@ -1,4 +1,4 @@
-/** From the result of a back-end call to the end of the attempt; pure. */
+/** Converts the result of a back-end call to the result of the attempt. Pure. */
 import type { AttemptResult } from '../core/attempt.js';
 import { createFailure } from '../core/failure.js';
 import { forwardAnswerFields } from '../core/forwarded-fields.js';
@@ -7,7 +7,7 @@
 import { ResultCode } from '../core/result-code.js';
 import type { BackendErrorCause, BackendResult } from './backend-client.js';
 
-/** Field by which a back end tells that it is leaving or sheds load. */
+/** Field by which a back end reports that it is leaving or sheds load. */
 const BACKEND_STATE_FIELD = 'backend-state';
 const SERVICE_UNAVAILABLE = 503;
 const DEFAULT_RETRY_AFTER_MS = 100;
@@ -28,14 +28,14 @@
   return result.type === 'answer' && backendState(result.answer) === 'draining';
 }
 
-/** How the attempt ended, without its load and attempts. */
+/** Returns how the attempt ended. */
 export function outcomeOf(result: BackendResult): AttemptOutcome {
   if (result.type === 'failure') return OUTCOMES[result.cause];
   if (!isRefusal(result.answer)) return 'success';
   return backendState(result.answer) === 'draining' ? 'draining' : 'overloaded';
 }
 
-/** The result of the attempt. A refusal by the back end itself means that it was not run. */
+/** Returns the result of the attempt. A request refused by the back end itself was not run. */
 export function toAttemptResult(
   result: BackendResult,
   attemptsUsed: number,
@@ -48,7 +48,7 @@
     const answer = { status, headers: forwardAnswerFields(headers), body };
     return { type: 'answer', answer, ...end };
   }
-  const detail = `the back end refused: ${backendState(result.answer) ?? ''}`;
+  const detail = `the back end refused with Backend-State ${backendState(result.answer) ?? ''}`;
   const failure = createFailure(ResultCode.TargetRefused, detail, {
     execution: 'not-run',
     retryAfterMs: retryAfterOf(result.answer),
--- a/src/target/backend-sequences.test.ts
+++ b/src/target/backend-sequences.test.ts
@@ -1,5 +1,5 @@
 /**
- * Sequences on the link to back ends: late and unasked answers, callers that go away, repeats,
+ * Sequences of calls to back ends: late and unsolicited answers, callers that go away, retries,
  * and a mixture of faults under load.
  */
 import assert from 'node:assert/strict';
@@ -50,7 +50,7 @@
   }
 });
 
-test('a second, unasked answer closes its connection and never reaches the next request', async () => {
+test('a second, unsolicited answer closes its connection and never reaches the next request', async () => {
   const twice = `${OK}Content-Length: 3\r\n\r\none${OK}Content-Length: 3\r\n\r\ntwo`;
   const later: BackendScript = ({ socket }) => {
     socket.write(`${OK}Content-Length: 3\r\n\r\none`);
@@ -72,7 +72,7 @@
   }
 });
 
-test('a caller that goes away has its back-end call closed, and the slot is free again', async () => {
+test('when a caller goes away, its back-end call is closed and the slot is free again', async () => {
   for (const { entryPort: port } of [near, far]) {
     const aborts = [new AbortController(), new AbortController(), new AbortController()];
     const closed: Promise<unknown>[] = [];
@@ -107,7 +107,7 @@
   },
 ];
 
-test('whatever mixture of faults and load: each caller gets its own answer or a failure', async () => {
+test('under mixed faults and load, each caller gets its own answer or a failure', async () => {
   const random = createRandom(11);
   backend.setScript((request) => MIXED_FAULTS[random.nextInt(MIXED_FAULTS.length)]?.(request));
   const answered = { own: 0, failed: 0 };
@@ -125,7 +125,7 @@
   assert.ok(answered.own > 80 && answered.failed > 0, JSON.stringify(answered));
 });
 
-test('an idempotent request is repeated within its attempts, and no further', async () => {
+test('an idempotent request is retried within its attempts, and no further', async () => {
   for (const { entryPort: port } of [near, far]) {
     backend.setScript(({ socket }) => socket.resetAndDestroy());
     const before = backend.seen.length;
@@ -142,7 +142,7 @@
   }
 });
 
-test('a back end that cannot be reached was not run', async () => {
+test('a request to a back end that cannot be reached was not run', async () => {
   await backend.close();
   const answer = await send({ port: near.entryPort, path: '/x' });
   assert.equal(answer.headers['sillshore-result'], String(ResultCode.TargetUnreachable));
--- a/src/target/coalesced-call.ts
+++ b/src/target/coalesced-call.ts
@@ -1,7 +1,6 @@
-/** Calls of a function that may be asked for often: at once, and then once per interval. */
+/** Calls a function that may be requested often: at once, and then at most once per interval. */
 import type { CancelTimer, Clock } from '../kernel/clock.js';
 
-/** See the module comment. */
 export class CoalescedCall {
   private lastRun = Number.NEGATIVE_INFINITY;
   private pending: CancelTimer | undefined;
@@ -13,7 +12,7 @@
     private readonly run: () => void,
   ) {}
 
-  /** Asks for a run, now or at the end of the interval that is under way. */
+  /** Requests a run, now or at the end of the current interval. */
   request(): void {
     if (this.pending !== undefined) return;
     const wait = this.lastRun + this.intervalMs - this.clock.now();
@@ -27,7 +26,7 @@
     });
   }
 
-  /** Drops a run that was asked for. */
+  /** Cancels a pending run. */
   cancel(): void {
     this.pending?.();
     this.pending = undefined;
--- a/src/target/gate-timer.ts
+++ b/src/target/gate-timer.ts
@@ -1,7 +1,7 @@
-/** The one timer that a gate asks for. */
+/** The single timer of a gate. */
 import type { CancelTimer, Clock } from '../kernel/clock.js';
 
-/** Set anew only when the gate asks for another time. */
+/** Reschedules only when the gate requests another time. */
 export class GateTimer {
   private armedFor: number | undefined;
   private cancelTimer: CancelTimer = () => {};
@@ -11,7 +11,7 @@
     private readonly onTimer: () => void,
   ) {}
 
-  /** @param next time that the gate asks for, if any */
+  /** @param next time that the gate requests, if any */
   arm(next: number | undefined): void {
     if (next === this.armedFor) return;
     this.cancel();
--- a/src/target/health-poller.ts
+++ b/src/target/health-poller.ts
@@ -1,4 +1,4 @@
-/** Polls the health endpoint of each fronted target, as one sign of leaving among several. */
+/** Polls the health endpoint of each fronted target, one of several signs of leaving. */
 import got from 'got';
 import type { CancelTimer, Clock } from '../kernel/clock.js';
 import type { HealthState } from './leaving-signs.js';
@@ -12,10 +12,10 @@
   readonly address: string;
 }
 
-/** Asks one target for its state; never rejects. */
+/** Queries the state of one target; never rejects. */
 export type HealthProbe = (address: string) => Promise<HealthState>;
 
-/** Asks by HTTP. */
+/** Queries the state over HTTP. */
 export const httpHealthProbe: HealthProbe = async (address) => {
   try {
     const answer = await got(`http://${address}/health`, {
@@ -43,12 +43,12 @@
 /** Polls all targets once a second. */
 export class HealthPoller {
   private cancelTimer: CancelTimer = () => {};
-  private readonly asking = new Set<string>();
+  private readonly polling = new Set<string>();
 
   constructor(
     private readonly clock: Clock,
     private readonly probe: HealthProbe,
-    private readonly list: () => readonly PolledTarget[],
+    private readonly listTargets: () => readonly PolledTarget[],
     private readonly report: (target: string, state: HealthState) => void,
   ) {}
 
@@ -64,15 +64,15 @@
   }
 
   private pollAll(): void {
-    for (const { target, address } of this.list()) {
-      if (!this.asking.has(target)) void this.poll(target, address);
+    for (const { target, address } of this.listTargets()) {
+      if (!this.polling.has(target)) void this.poll(target, address);
     }
   }
 
   private async poll(target: string, address: string): Promise<void> {
-    this.asking.add(target);
+    this.polling.add(target);
     const state = await this.probe(address);
-    this.asking.delete(target);
+    this.polling.delete(target);
     this.report(target, state);
   }
 }
--- a/src/target/leaving-signs.test.ts
+++ b/src/target/leaving-signs.test.ts
@@ -29,9 +29,9 @@
     signs: ['draining-answer', 'unreachable', 'unreachable', 'serving'],
     leaving: false,
   },
-  { name: 'started anew', signs: ['draining-answer', 'starting', 'serving'], leaving: false },
+  { name: 'started again', signs: ['draining-answer', 'starting', 'serving'], leaving: false },
   {
-    name: 'the drain was taken back',
+    name: 'the drain was ended',
     signs: ['draining-answer', 'draining', 'serving'],
     leaving: false,
   },
@@ -53,7 +53,7 @@
   });
 }
 
-test('operators and other nodes make a target leave, and only own signs are told on', () => {
+test('operators and other nodes make a target leave, and only own signs are reported', () => {
   const state = new LeavingSigns();
   state.setReportedByOthers(true);
   assert.deepEqual([state.leaving, state.seenHere], [true, false]);
--- a/src/target/leaving-signs.ts
+++ b/src/target/leaving-signs.ts
@@ -1,15 +1,15 @@
 /**
- * Whether one target is leaving, from signs that lag or mislead. Any one sign suffices; only
- * a restart or an end of the drain that the health endpoint shows takes it back. Pure.
+ * Decides whether one target is leaving, from signs that lag or mislead. Any one sign suffices.
+ * Only a restart or the end of the drain, as shown by the health endpoint, clears it. Pure.
  */
 
-/** What a health poll saw. */
+/** Result of a health poll. */
 export type HealthState = 'starting' | 'serving' | 'draining' | 'unreachable';
 
-/** Failed polls in a row that count as the target being down. */
+/** Consecutive failed polls after which the target counts as down. */
 const UNREACHABLE_POLLS = 2;
 
-/** Signs of one target. */
+/** Signs that one target is leaving. */
 export class LeavingSigns {
   private seenInTraffic = false;
   private stoppedServing = false;
@@ -17,17 +17,17 @@
   private drainedByOperator = false;
   private reportedByOthers = false;
 
-  /** Whether the target may get no new work. */
+  /** Whether the target must not get new work. */
   get leaving(): boolean {
     return this.seenHere || this.reportedByOthers;
   }
 
-  /** Whether this node has a sign of its own, to be told to others. */
+  /** Whether this node has a sign of its own, which it reports to others. */
   get seenHere(): boolean {
     return this.seenInTraffic || this.drainedByOperator;
   }
 
-  /** An answer said that the target is draining. */
+  /** Records an answer that says that the target is draining. */
   noteDrainingAnswer(): void {
     if (this.seenInTraffic) return;
     this.seenInTraffic = true;
@@ -35,8 +35,8 @@
   }
 
   /**
-   * A health poll ended. The endpoint lags, so `serving` alone does not take back a sign from
-   * traffic: it must have shown something else first.
+   * Records a health poll. The endpoint lags, so `serving` clears a sign from traffic only when
+   * the endpoint has shown something else first.
    */
   noteHealth(state: HealthState): void {
     this.unreachablePolls = state === 'unreachable' ? this.unreachablePolls + 1 : 0;
@@ -55,12 +55,12 @@
     }
   }
 
-  /** An operator started or ended a drain. */
+  /** Records that an operator started or ended a drain. */
   setDrainedByOperator(drained: boolean): void {
     this.drainedByOperator = drained;
   }
 
-  /** Another node or the platform's list of machines shows the target as leaving, or not. */
+  /** Sets whether another node or the platform's list of machines shows the target as leaving. */
   setReportedByOthers(reported: boolean): void {
     this.reportedByOthers = reported;
   }
--- a/src/target/load-gauges.ts
+++ b/src/target/load-gauges.ts
@@ -1,4 +1,4 @@
-/** The gauges of one target, and the event that its limit has changed. */
+/** Gauges of one target, and the event logged when its limit changes. */
 import type { LoadReport } from '../core/request.js';
 import { Event, type EventLog } from '../kernel/event.js';
 import type { Metrics } from '../kernel/metrics.js';
@@ -7,7 +7,7 @@
   set(value: number): void;
 }
 
-/** Gauges looked up once. */
+/** Looks up its gauges once. */
 export class LoadGauges {
   private readonly inFlight: GaugeValue;
   private readonly queued: GaugeValue;
@@ -24,7 +24,7 @@
     this.limit = metrics.limit.labels({ target });
   }
 
-  /** Shows a load. */
+  /** Sets the gauges to a load. */
   set(load: LoadReport): void {
     this.inFlight.set(load.inFlight);
     this.queued.set(load.queued);
--- a/src/target/local-target-dispatcher.test.ts
+++ b/src/target/local-target-dispatcher.test.ts
@@ -1,4 +1,4 @@
-/** The metrics of targets that come to a node and go. */
+/** The gauges of targets while they are placed at a node and after they leave it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { createRulesDocument, createTestSettings } from '../../test/support/test-admin.js';
@@ -17,7 +17,7 @@
   readonly dispatcher: LocalTargetDispatcher;
   readonly clock: ManualClock;
   readonly metrics: Metrics;
-  /** Puts rules with other slots in force, which makes new tasks. */
+  /** Puts rules with other slots in force, which require new tasks. */
   changeSlots(slots: number): void;
 }
 
@@ -62,7 +62,7 @@
   return first ?? [];
 }
 
-test('the gauges of a target go when it is fronted elsewhere', async () => {
+test('the gauges of a target are removed when it is fronted elsewhere', async () => {
   const { dispatcher, clock, metrics } = createBench();
   dispatcher.setPlaced(['guide-1', 'guide-2']);
   for (const target of ['guide-1', 'guide-2']) dispatcher.noteHealth(target, 'serving');
--- a/src/target/local-target-dispatcher.ts
+++ b/src/target/local-target-dispatcher.ts
@@ -1,4 +1,4 @@
-/** The targets that this node fronts: one task each, made when needed and retired when idle. */
+/** The targets that this node fronts, with one task each until they are placed elsewhere. */
 import type { AttemptResult, TargetAttempt } from '../core/attempt.js';
 import { AttemptLedger } from '../core/attempt-ledger.js';
 import type { ByteBudget } from '../core/byte-budget.js';
@@ -12,16 +12,15 @@
 import type { EventLog } from '../kernel/event.js';
 import type { EventLoopDelay } from '../kernel/event-loop-delay.js';
 import type { Metrics } from '../kernel/metrics.js';
-import { notDispatched, refusedByFullMailbox } from './attempt-end.js';
+import { notDispatched, refusedByFullMailbox } from './undispatched-attempt.js';
 import type { BackendClientFactory } from './backend-client.js';
 import type { HealthState } from './leaving-signs.js';
 import type { ParentAttempt, TargetDispatcher } from './target-dispatcher.js';
 import { TargetTask } from './target-task.js';
 
-/** How long a target that is placed elsewhere keeps its task for nodes with an older view. */
+/** Time for which a target placed elsewhere keeps its task, for nodes with an older view. */
 const RETIRE_AFTER_MS = 5_000;
 
-/** What the dispatcher works with. */
 export interface LocalTargetDispatcherOptions {
   readonly settings: Settings;
   readonly config: ConfigStore;
@@ -32,21 +31,20 @@
   readonly loopDelay: EventLoopDelay;
   readonly log: EventLog;
   readonly metrics: Metrics;
-  /** Told the targets that this node's target side has seen leaving, after each change. */
+  /** Called after each change with the targets that this node's target side has seen leaving. */
   readonly onLeavingChanged: (leaving: readonly string[]) => void;
 }
 
-/** A task with the part of the rules that it was made from. */
+/** A task with the part of the rules from which it was created. */
 interface FrontedTarget {
   readonly task: TargetTask;
-  readonly shape: string;
+  readonly taskKey: string;
   readonly address: string;
 }
 
-/** See the module comment. */
 export class LocalTargetDispatcher implements TargetDispatcher {
   private readonly fronted = new Map<string, FrontedTarget>();
-  /** Tasks that finish what runs. */
+  /** Tasks that finish their running attempts. */
   private readonly retiring = new Set<TargetTask>();
   private readonly ledger = new AttemptLedger();
   private readonly running = new Map<string, TargetAttempt>();
@@ -105,8 +103,8 @@
   }
 
   /**
-   * Makes tasks for targets that are placed here. The others are retired after a while: until
-   * then nodes with an older view still send attempts, which share the gate.
+   * Creates tasks for targets that are placed here. The others are retired after a while: until
+   * then, nodes with an older view still send attempts, which must share the gate.
    */
   setPlaced(targets: readonly string[]): void {
     this.placed = new Set(targets);
@@ -119,7 +117,7 @@
     this.publishLeaving();
   }
 
-  /** Takes a health poll's result in. */
+  /** Passes the result of a health poll to the target's task. */
   noteHealth(target: string, state: HealthState): void {
     this.fronted.get(target)?.task.post({ type: 'health', state });
   }
@@ -129,10 +127,10 @@
     return this.fronted.get(target)?.task.post({ type: 'operator-drain', drained }) ?? false;
   }
 
-  /** Takes the targets that the members' facts show as leaving, whoever saw it. */
+  /** Records the targets that any member reports as leaving. */
   noteReportedLeaving(targets: readonly string[]): void {
     this.reportedLeaving = new Set(targets);
-    for (const [target, { task }] of this.fronted) this.tellTask(target, task);
+    for (const [target, { task }] of this.fronted) this.postReportedLeaving(target, task);
   }
 
   /** Targets that this node's target side itself has seen leaving. */
@@ -148,19 +146,20 @@
   }
 
   private ensure(target: string, located: LocatedTarget): FrontedTarget {
-    const shape = shapeOf(located);
+    const taskKey = taskKeyOf(located);
     const existing = this.fronted.get(target);
-    if (existing?.shape === shape) return existing;
+    if (existing?.taskKey === taskKey) return existing;
     const { address } = located.target;
-    const made = { task: this.createTask(target, located), shape, address };
+    const made = { task: this.createTask(target, located), taskKey, address };
     this.fronted.set(target, made);
     if (existing !== undefined) this.retireTask(existing.task);
-    this.tellTask(target, made.task);
+    this.postReportedLeaving(target, made.task);
     return made;
   }
 
   private createTask(target: string, located: LocatedTarget): TargetTask {
-    const { settings, policy, createClient, clock, loopDelay, log, metrics, buffers } = this.options;
+    const { settings, policy, createClient, clock, loopDelay, log, metrics, buffers } =
+      this.options;
     const { slots, connections } = located.service;
     this.created += 1;
     const task: TargetTask = new TargetTask({
@@ -187,7 +186,7 @@
       },
       onRetired: () => {
         this.retiring.delete(task);
-        this.dropGauges(target);
+        this.removeGauges(target);
       },
     });
     return task;
@@ -213,14 +212,14 @@
     task.post({ type: 'retire' });
   }
 
-  /** Ends the metrics of a target that has no task here any more. */
-  private dropGauges(target: string): void {
+  /** Removes the gauges of a target that no longer has a task here. */
+  private removeGauges(target: string): void {
     if (this.fronted.has(target)) return;
     const { inFlight, queued, limit } = this.options.metrics;
     for (const gauge of [inFlight, queued, limit]) gauge.remove({ target });
   }
 
-  private tellTask(target: string, task: TargetTask): void {
+  private postReportedLeaving(target: string, task: TargetTask): void {
     const leaving = this.reportedLeaving.has(target);
     task.post({ type: 'reported-leaving', leaving });
   }
@@ -230,8 +229,8 @@
   }
 }
 
-/** The members of the rules whose change needs a new task. */
-function shapeOf({ service, target }: LocatedTarget): string {
+/** Key of the parts of the rules whose change requires a new task. */
+function taskKeyOf({ service, target }: LocatedTarget): string {
   return `${target.address} ${service.slots} ${service.connections}`;
 }
 
--- a/src/target/node-backend-client.ts
+++ b/src/target/node-backend-client.ts
@@ -1,6 +1,6 @@
 /**
- * Back-end client on `node:http`. It was chosen because it tells exactly whether a byte has
- * been sent and whether an answer is complete; see docs/design/data-path.md.
+ * Back-end client on `node:http`, because that shows exactly whether a byte has been sent and
+ * whether an answer is complete; see docs/design/data-path.md.
  */
 import {
   Agent,
@@ -24,12 +24,12 @@
   BackendResult,
 } from './backend-client.js';
 
-/** Idle connections are closed well before back ends usually close them (5 s in Node). */
+/** Closes idle connections well before back ends usually close them (5 s in Node). */
 const FREE_SOCKET_TIMEOUT_MS = 4_000;
 
 /**
  * Creates the client of one back end. Bytes that arrive on an idle connection close it: the
- * parser stays attached and takes them for a second answer (a contract test relies on it).
+ * parser stays attached and parses them as a second answer (a contract test relies on it).
  */
 export function createNodeBackendClient(
   options: BackendClientOptions,
@@ -146,7 +146,10 @@
   private send(): void {
     if (this.ended) return;
     if (!this.limits.mayStart()) {
-      this.fail('withdrawn', 'too late to dispatch');
+      this.fail(
+        'withdrawn',
+        'the deadline or the time limit of the claim passed before the dispatch',
+      );
       return;
     }
     this.sent = true;
@@ -156,9 +159,9 @@
 
   private onResponse(response: IncomingMessage): void {
     const declared = Number(response.headers['content-length'] ?? 0);
-    const bodied = this.message.method !== 'HEAD' && hasBody(response.statusCode ?? 0);
-    if (bodied && declared > this.limits.maxAnswerBytes) {
-      this.fail('too-large', `answer of ${declared} bytes`);
+    const expectsBody = this.message.method !== 'HEAD' && hasBody(response.statusCode ?? 0);
+    if (expectsBody && declared > this.limits.maxAnswerBytes) {
+      this.fail('too-large', `answer of ${declared} bytes is too large`);
       return;
     }
     response.on('data', (chunk: Buffer) => {
@@ -176,10 +179,10 @@
     if (this.ended) return;
     this.received += chunk.length;
     if (this.received > this.limits.maxAnswerBytes) {
-      this.fail('too-large', `answer is longer than ${this.limits.maxAnswerBytes} bytes`);
+      this.fail('too-large', `answer exceeds ${this.limits.maxAnswerBytes} bytes`);
       return;
     }
-    if (!this.limits.takeBuffer(chunk.length)) {
+    if (!this.limits.reserveBuffer(chunk.length)) {
       this.fail('buffer-exhausted', 'no buffer left for the answer');
       return;
     }
@@ -188,7 +191,7 @@
 
   private onEnd(response: IncomingMessage): void {
     if (this.ended) return;
-    const headers = pairUp(response.rawHeaders);
+    const headers = pairHeaderFields(response.rawHeaders);
     if (!response.complete || !hasKnownLength(this.message.method, response)) {
       this.fail('failed', 'the answer ended early or has no length');
       return;
@@ -218,7 +221,7 @@
   }
 }
 
-function pairUp(rawHeaders: readonly string[]): HeaderFields {
+function pairHeaderFields(rawHeaders: readonly string[]): HeaderFields {
   const headers: [string, string][] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     headers.push([rawHeaders[index] ?? '', rawHeaders[index + 1] ?? '']);
--- a/src/target/target-administration.ts
+++ b/src/target/target-administration.ts
@@ -1,4 +1,4 @@
-/** What operators change at the target side of a node. */
+/** Changes that operators make at the target side of a node. */
 export interface TargetAdministration {
   /**
    * Starts or ends an operator's drain of a target; a drained target gets no new work.
--- a/src/target/target-dispatcher.ts
+++ b/src/target/target-dispatcher.ts
@@ -1,26 +1,26 @@
-/** The target side of a node: admission before the targets that it fronts, and the calls to them. */
+/** The target side of a node: admission to the targets that it fronts, and calls to them. */
 import type { AttemptResult, TargetAttempt } from '../core/attempt.js';
 
 /** Dispatches attempts to back ends that this node fronts. */
 export interface TargetDispatcher {
   /**
-   * Admits, dispatches and awaits the complete answer.
+   * Admits and dispatches an attempt, and waits for the complete answer.
    *
    * @param attempt deadline and notAfter in local monotonic time
-   * @param signal aborts when the caller went away; a dispatched back-end call is cancelled
+   * @param signal aborts when the caller goes away; this cancels a dispatched back-end call
    * @returns exactly one result; never rejects
    */
   dispatch(attempt: TargetAttempt, signal: AbortSignal): Promise<AttemptResult>;
-  /** Attempts being dispatched or waiting now, over all targets. */
+  /** Attempts that wait or run now, over all targets. */
   readonly inProgress: number;
   /**
-   * Charges attempts to the ledger of a running attempt (a call of the back end one level down).
+   * Reserves attempts in the ledger of a running attempt, for a call that its back end makes.
    *
    * @returns the attempts that the call may use, at most `wanted`; 0 when none are left or the
    * parent is unknown or has ended
    */
   reserveAttempts(parentAttemptId: string, wanted: number): number;
-  /** Gives back what a call below `parentAttemptId` has reserved and not used. */
+  /** Returns attempts that a call below `parentAttemptId` reserved and did not use. */
   returnAttempts(parentAttemptId: string, unused: number): void;
   /** Context of a running attempt, for the calls made below it. */
   findParent(parentAttemptId: string): ParentAttempt | undefined;
@@ -28,7 +28,7 @@
   noteDownstream(parentAttemptId: string, service: string, threshold: number): void;
 }
 
-/** A running attempt as the calls below it inherit it. */
+/** What the calls below a running attempt inherit. */
 export interface ParentAttempt {
   readonly attempt: TargetAttempt;
   readonly attemptsLeft: number;
--- a/src/target/target-messages.ts
+++ b/src/target/target-messages.ts
@@ -3,7 +3,7 @@
 import type { BackendResult } from './backend-client.js';
 import type { HealthState } from './leaving-signs.js';
 
-/** An attempt that asks for admission; `resolve` is called exactly once. */
+/** An attempt that requests admission; `resolve` is called exactly once. */
 export interface OfferMessage {
   readonly type: 'offer';
   readonly attempt: TargetAttempt;
@@ -22,14 +22,14 @@
   readonly kind: string;
 }
 
-/** Everything that a target task is told. */
+/** Messages of a target task. */
 export type TargetMessage =
   | OfferMessage
   /** The back-end call of a ticket ended. */
   | { readonly type: 'ended'; readonly ticket: number; readonly result: BackendResult }
   /** The caller of a ticket went away. */
   | { readonly type: 'cancelled'; readonly ticket: number }
-  /** The gate's timer has come. */
+  /** The gate's timer has fired. */
   | { readonly type: 'timer' }
   /** A health poll ended. */
   | { readonly type: 'health'; readonly state: HealthState }
--- a/src/target/target-placement.ts
+++ b/src/target/target-placement.ts
@@ -1,11 +1,11 @@
-/** Where targets are fronted now, kept up to date with membership and rules. */
+/** Which node fronts each target now, by membership and rules. */
 import { Placement } from '../core/placement.js';
 import type { TargetView } from '../core/overload.js';
 import type { ConfigStore } from '../config/config-store.js';
 import type { ServiceRules } from '../config/rules.js';
 import type { Membership } from '../membership/membership.js';
 
-/** View of one node; call {@link TargetPlacement.refresh} after each change of the members. */
+/** Placement as one node sees it; call {@link TargetPlacement.refresh} after members change. */
 export class TargetPlacement {
   private placement = new Placement([]);
   private leaving: ReadonlySet<string> = new Set();
--- a/src/target/target-plugin.ts
+++ b/src/target/target-plugin.ts
@@ -15,15 +15,15 @@
 import { createNodeBackendClient } from './node-backend-client.js';
 import { TargetPlacement } from './target-placement.js';
 
-const IDLE_CHECK_MS = 20;
+const IDLE_CHECK_INTERVAL_MS = 20;
 /** Shortest time between two readings of members and rules, which take a while in a large fleet. */
 export const REFRESH_INTERVAL_MS = 50;
 
-/** State of one node's plug-in, kept in its container so that nodes can share a process. */
+/** State of one node's plug-in, kept per container so that nodes can share a process. */
 class TargetSide {
   private readonly poller: HealthPoller;
   private readonly placement: TargetPlacement;
-  private readonly refreshing: CoalescedCall;
+  private readonly refreshCall: CoalescedCall;
   private unsubscribe: (() => void)[] = [];
 
   constructor(
@@ -34,7 +34,7 @@
       container.get(Token.Membership),
       container.get(Token.ConfigStore),
     );
-    this.refreshing = new CoalescedCall(container.get(Token.Clock), REFRESH_INTERVAL_MS, () => {
+    this.refreshCall = new CoalescedCall(container.get(Token.Clock), REFRESH_INTERVAL_MS, () => {
       this.refresh();
     });
     this.poller = new HealthPoller(
@@ -50,7 +50,7 @@
   start(): void {
     this.handlePeerCalls();
     const refresh = (): void => {
-      this.refreshing.request();
+      this.refreshCall.request();
     };
     this.unsubscribe = [
       this.container.get(Token.Membership).subscribe(refresh),
@@ -60,18 +60,18 @@
     this.poller.start();
   }
 
-  /** Waits until no attempt waits or runs here, at most as long as a planned stop may take. */
+  /** Waits until no attempt waits or runs here, but no longer than a planned stop may take. */
   async drain(): Promise<void> {
     const clock = this.container.get(Token.Clock);
     const end = clock.now() + this.container.get(Token.Settings).stopTimeoutMs;
     while (this.dispatcher.inProgress > 0 && clock.now() < end) {
-      await new Promise<void>((resolve) => clock.schedule(IDLE_CHECK_MS, resolve));
+      await new Promise<void>((resolve) => clock.schedule(IDLE_CHECK_INTERVAL_MS, resolve));
     }
   }
 
   stop(): void {
     for (const unsubscribe of this.unsubscribe) unsubscribe();
-    this.refreshing.cancel();
+    this.refreshCall.cancel();
     this.poller.stop();
     this.dispatcher.close();
   }
@@ -124,7 +124,7 @@
   });
 }
 
-/** Finds the policy that the settings name; a name without a policy keeps the node from starting. */
+/** Finds the policy that the settings name. Throws for an unknown name: the node must not start. */
 export function requirePolicy(name: string): OverloadPolicy {
   const policy = findOverloadPolicy(name);
   if (policy === undefined) throw new Error(`no overload policy is named ${name}`);
--- a/src/target/target-task.test.ts
+++ b/src/target/target-task.test.ts
@@ -1,4 +1,4 @@
-/** One target's task under virtual time, with a gate and a back end that the test controls. */
+/** One target's task under a manual clock, with a gate and a back end that the test controls. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { AttemptLedger } from '../core/attempt-ledger.js';
@@ -13,7 +13,7 @@
 import type { BackendCallLimits, BackendResult } from './backend-client.js';
 import { TargetTask } from './target-task.js';
 
-/** Holds every offer until the test lets it go, and refuses what waits for 100 ms. */
+/** Dispatches offers at once or queues them, and refuses queued ones after 100 ms. */
 class TestGate implements TargetGate {
   readonly waiting = new Map<number, number>();
   readonly completed: string[] = [];
@@ -123,7 +123,7 @@
   closes: false,
 };
 
-test('a running attempt can be drawn on by calls below, and its use is reported', async () => {
+test('calls below a running attempt can use its attempts, and the use is reported', async () => {
   const bench = createBench();
   const result = bench.offer();
   assert.equal(bench.ledger.reserve('a.1.1', 9), 2);
@@ -134,7 +134,7 @@
   assert.deepEqual(bench.gate.completed, ['success']);
 });
 
-test("the gate's timer refuses what waits, not run", async () => {
+test("the gate's timer refuses waiting attempts as not run", async () => {
   const bench = createBench();
   bench.gate.dispatchAtOnce = false;
   const result = bench.offer();
@@ -145,7 +145,7 @@
   assert.deepEqual([ended.failure.execution, ended.failure.retryAfterMs], ['not-run', 7]);
 });
 
-test('a caller that goes away while it waits is withdrawn, not run', async () => {
+test('an attempt whose caller goes away while it waits is withdrawn, not run', async () => {
   const bench = createBench();
   bench.gate.dispatchAtOnce = false;
   const abort = new AbortController();
@@ -157,7 +157,7 @@
   assert.equal(bench.task.inProgress, 0);
 });
 
-test('what waits is refused when the target starts to leave; what runs goes on', async () => {
+test('when the target starts to leave, waiting attempts are refused and running ones go on', async () => {
   const bench = createBench();
   const running = bench.offer();
   bench.gate.dispatchAtOnce = false;
@@ -178,7 +178,7 @@
   assert.equal(bench.ledger.size, 0);
 });
 
-test('the first byte may go only before the deadline and the time of the claim', () => {
+test('the first byte may be sent only before the deadline and the time limit of the claim', () => {
   const cases = [
     { notAfter: undefined, at: 499, allowed: true },
     { notAfter: undefined, at: 500, allowed: false },
@@ -193,7 +193,7 @@
   }
 });
 
-test('a retired task ends after what runs, and takes nothing more', async () => {
+test('a retired task ends after its running attempts and takes no more messages', async () => {
   const bench = createBench();
   const running = bench.offer();
   bench.task.post({ type: 'retire' });
@@ -202,7 +202,7 @@
   assert.equal(bench.task.post({ type: 'timer' }), false);
 });
 
-test('a refusal at the gate is logged with what it was decided by', async () => {
+test('a refusal by the gate is logged with the load that it saw', async () => {
   const lines: (readonly [Event, EventFields])[] = [];
   const log: EventLog = { emit: (event, fields = {}) => lines.push([event, fields]) };
   const { gate, clock, offer } = createBench(undefined, log);
--- a/src/target/target-task.ts
+++ b/src/target/target-task.ts
@@ -20,7 +20,7 @@
   notDispatched,
   refusedByLeavingTarget,
   tooLateToDispatch,
-} from './attempt-end.js';
+} from './undispatched-attempt.js';
 import type { BackendClient, BackendResult } from './backend-client.js';
 import { outcomeOf, saysDraining, toAttemptResult } from './backend-result.js';
 import { BackendDispatch, mayStart } from './backend-dispatch.js';
@@ -29,7 +29,6 @@
 import { LoadGauges } from './load-gauges.js';
 import type { DownstreamMessage, OfferMessage, TargetMessage } from './target-messages.js';
 
-/** What a target task works with. */
 export interface TargetTaskOptions {
   readonly target: string;
   readonly nodeId: string;
@@ -42,9 +41,9 @@
   readonly loopDelay: EventLoopDelay;
   readonly log: EventLog;
   readonly metrics: Metrics;
-  /** Called when this node starts or ends seeing the target leave. */
+  /** Called when this node starts or stops seeing the target as leaving. */
   readonly onLeavingChanged: () => void;
-  /** Called once, when a retired task has ended its work. */
+  /** Called once, when a retired task has finished its work. */
   readonly onRetired: () => void;
 }
 
@@ -57,10 +56,9 @@
 }
 
 const REPOST_DELAY_MS = 1;
-const NOTHING_RUN = { execution: 'not-run' } as const;
+const NOT_RUN = { execution: 'not-run' } as const;
 const BUFFER_RETRY_AFTER_MS = 100;
 
-/** See the module comment. */
 export class TargetTask extends Task<TargetMessage> {
   private readonly tickets = new Map<number, Ticket>();
   private readonly signs = new LeavingSigns();
@@ -80,7 +78,7 @@
     this.gauges = new LoadGauges(target, metrics, log);
     this.dispatch = new BackendDispatch(nodeId, client, clock);
     this.gateTimer = new GateTimer(clock, () => {
-      this.postOwn({ type: 'timer' });
+      this.postReliably({ type: 'timer' });
     });
   }
 
@@ -89,12 +87,12 @@
     return this.tickets.size;
   }
 
-  /** Whether the target may get no new work. */
+  /** Whether the target must not get new work. */
   get leaving(): boolean {
     return this.signs.leaving;
   }
 
-  /** Whether this node itself has seen the target leave. */
+  /** Whether this node itself has seen the target leaving. */
   get seenLeavingHere(): boolean {
     return this.signs.seenHere;
   }
@@ -120,7 +118,7 @@
         break;
       case 'health':
         this.signs.noteHealth(message.state);
-        // Often enough for a scrape, and no cost for each call.
+        // Health polls are frequent enough for scrapes, and calls bear no cost.
         this.gauges.set(this.report());
         break;
       case 'operator-drain':
@@ -157,11 +155,11 @@
     if (this.tickets.has(ticket) && !entry.running) this.listenForAbort(ticket, entry);
   }
 
-  /** Only what waits is withdrawn; a running call has the signal itself. */
+  /** Withdraws a waiting attempt on abort. A running call observes the signal itself. */
   private listenForAbort(ticket: number, entry: Ticket): void {
     const { signal } = entry.offer;
     const onAbort = (): void => {
-      this.postOwn({ type: 'cancelled', ticket });
+      this.postReliably({ type: 'cancelled', ticket });
     };
     signal.addEventListener('abort', onAbort, { once: true });
     entry.stopListening = () => {
@@ -202,14 +200,14 @@
 
   private refuse(ticket: number, refusal: Refusal): void {
     const { code, detail, retryAfterMs } = refusal;
-    const failure = createFailure(code, detail, { ...NOTHING_RUN, retryAfterMs });
+    const failure = createFailure(code, detail, { ...NOT_RUN, retryAfterMs });
     const context = this.tickets.get(ticket)?.offer.attempt.context;
     const load = this.report(context);
     this.logRefusal(failure, load, context);
     this.end(ticket, notDispatched('overloaded', failure, load));
   }
 
-  /** What the gate decided by; a late event loop shows slowness of this process, not of the target. */
+  /** Logs the load that the gate saw. A late event loop shows a slow process, not a slow target. */
   private logRefusal(
     { code, detail }: Failure,
     { limit, inFlight, queued, latencyMs, threshold }: LoadReport,
@@ -238,23 +236,23 @@
     entry.running = true;
     const { attempt } = entry.offer;
     if (this.signs.leaving) {
-      this.giveUp(ticket, refusedByLeavingTarget(this.options.target));
+      this.endUnsent(ticket, refusedByLeavingTarget(this.options.target));
       return;
     }
     if (!mayStart(attempt, this.options.clock.now())) {
-      this.giveUp(ticket, tooLateToDispatch());
+      this.endUnsent(ticket, tooLateToDispatch());
       return;
     }
     const reservation = this.options.buffers.tryReserve(this.answerSizes.expected);
     if (reservation === undefined) {
-      const options = { ...NOTHING_RUN, retryAfterMs: BUFFER_RETRY_AFTER_MS };
+      const options = { ...NOT_RUN, retryAfterMs: BUFFER_RETRY_AFTER_MS };
       const failure = createFailure(
         ResultCode.BufferExhausted,
-        'no buffer for the answer',
+        'no buffer left for the answer',
         options,
       );
       const load = this.report(attempt.context);
-      this.giveUp(ticket, notDispatched('overloaded', failure, load));
+      this.endUnsent(ticket, notDispatched('overloaded', failure, load));
       return;
     }
     entry.reservation = reservation;
@@ -268,11 +266,11 @@
     reservation: BufferReservation,
   ): Promise<void> {
     const result = await this.dispatch.call(offer, reservation);
-    this.postOwn({ type: 'ended', ticket, result });
+    this.postReliably({ type: 'ended', ticket, result });
   }
 
-  /** Ends a ticket that the gate has dispatched and that never reached the back end. */
-  private giveUp(ticket: number, result: AttemptResult): void {
+  /** Ends a ticket that the gate has dispatched and that was not sent to the back end. */
+  private endUnsent(ticket: number, result: AttemptResult): void {
     const now = this.options.clock.now();
     const actions = this.options.gate.complete(now, ticket, result.outcome);
     this.end(ticket, result);
@@ -328,11 +326,11 @@
     }
   }
 
-  /** Posts a message of the task's own timers and calls, which may not get lost. */
-  private postOwn(message: TargetMessage): void {
+  /** Posts a message of the task's own timers and calls; retries, because none may get lost. */
+  private postReliably(message: TargetMessage): void {
     if (this.post(message) || this.retired) return;
     this.options.clock.schedule(REPOST_DELAY_MS, () => {
-      this.postOwn(message);
+      this.postReliably(message);
     });
   }
 
--- a/src/target/undispatched-attempt.ts
+++ b/src/target/undispatched-attempt.ts
@@ -1,13 +1,13 @@
-/** Ends of attempts: shorthand for results that several places of the target side give. */
+/** Results of attempts that were not dispatched. */
 import type { AttemptResult } from '../core/attempt.js';
 import { createFailure, type Failure } from '../core/failure.js';
 import type { AttemptOutcome, LoadReport } from '../core/request.js';
 import { ResultCode } from '../core/result-code.js';
 
-/** Time after which a repeat at another target is worthwhile: at once, for lack of a better. */
-const SOON_MS = 50;
+/** Time after which a retry at another target is worthwhile; short, for lack of a better value. */
+const RETRY_AFTER_MS = 50;
 
-/** An attempt that was never dispatched. */
+/** Creates the result of an attempt that was never dispatched. */
 export function notDispatched(
   outcome: AttemptOutcome,
   failure: Failure,
@@ -19,15 +19,15 @@
 
 /** The target is leaving. */
 export function refusedByLeavingTarget(target: string): AttemptResult {
-  const options = { execution: 'not-run', retryAfterMs: SOON_MS } as const;
+  const options = { execution: 'not-run', retryAfterMs: RETRY_AFTER_MS } as const;
   const failure = createFailure(ResultCode.TargetRefused, `target ${target} is leaving`, options);
   return notDispatched('draining', failure);
 }
 
-/** The task has too much to do. */
+/** The mailbox of the target's task is full. */
 export function refusedByFullMailbox(target: string): AttemptResult {
   const detail = `mailbox of target ${target} is full`;
-  const failure = createFailure(ResultCode.MailboxFull, detail, { retryAfterMs: SOON_MS });
+  const failure = createFailure(ResultCode.MailboxFull, detail, { retryAfterMs: RETRY_AFTER_MS });
   return notDispatched('overloaded', failure);
 }
 
@@ -37,9 +37,9 @@
   return notDispatched('cancelled', createFailure(ResultCode.Cancelled, 'cancelled', options));
 }
 
-/** The deadline, or the time that the claim allows, has passed before the dispatch. */
+/** The deadline or the time limit of the claim passed before the dispatch. */
 export function tooLateToDispatch(): AttemptResult {
-  const detail = 'too late to dispatch';
+  const detail = 'the deadline or the time limit of the claim passed before the dispatch';
   const options = { execution: 'not-run' } as const;
   const failure = createFailure(ResultCode.DeadlineExceeded, detail, options);
   return notDispatched('cancelled', failure);
