--- a/src/membership/datagram-codec.test.ts
+++ b/src/membership/datagram-codec.test.ts
@@ -58,7 +58,7 @@
 ];
 
 for (const message of MESSAGES) {
-  test(`a ${message.type} comes out as it went in`, () => {
+  test(`a ${message.type} message is decoded as it was encoded`, () => {
     assert.deepEqual(codec.decode(codec.encode(message)), message);
   });
 }
@@ -72,7 +72,7 @@
   });
 }
 
-/** Signs any document, as only a holder of the key can. */
+/** Encodes any document with a valid signature. */
 function sign(document: Record<string, unknown>): Buffer {
   const signer = codec as unknown as { sign(body: Uint8Array): Buffer };
   const body = serialize(document);
@@ -82,32 +82,32 @@
 const WIRE = { k: 0, f: 'node-1', i: 1, v: 1, h: 1, u: [], p: 1, s: 'node-2' };
 const MALFORMED: Record<string, Buffer> = {
   'an empty datagram': Buffer.alloc(0),
-  'a tag alone': Buffer.alloc(16),
+  'a tag without a document': Buffer.alloc(16),
   'zero bytes': Buffer.alloc(100),
   'a datagram above the limit': sign({ ...WIRE, x: 'x'.repeat(MAX_DATAGRAM_BYTES) }),
-  'another key': new DatagramCodec('another shared key').encode(PING),
-  'a truncated one': codec.encode(PING).subarray(0, -1),
-  'a changed byte': Buffer.from(codec.encode(PING)).fill(0xff, 40, 41),
-  'an unknown type': sign({ ...WIRE, k: 9 }),
-  'no sender': sign({ ...WIRE, f: '' }),
-  'a sender that is no text': sign({ ...WIRE, f: 7 }),
-  'a name with other characters': sign({ ...WIRE, f: 'knoten-ä' }),
+  'a datagram signed with another key': new DatagramCodec('another shared key').encode(PING),
+  'a truncated datagram': codec.encode(PING).subarray(0, -1),
+  'a datagram with a changed byte': Buffer.from(codec.encode(PING)).fill(0xff, 40, 41),
+  'an unknown message type': sign({ ...WIRE, k: 9 }),
+  'an empty sender': sign({ ...WIRE, f: '' }),
+  'a sender that is not a string': sign({ ...WIRE, f: 7 }),
+  'a sender with non-ASCII characters': sign({ ...WIRE, f: 'knoten-ä' }),
   'a negative incarnation': sign({ ...WIRE, i: -1 }),
   'a fractional probe number': sign({ ...WIRE, p: 1.5 }),
-  'updates that are no list': sign({ ...WIRE, u: {} }),
-  'an update that is no list': sign({ ...WIRE, u: [{}] }),
+  'updates that are not an array': sign({ ...WIRE, u: {} }),
+  'an update that is not an array': sign({ ...WIRE, u: [{}] }),
   'an update of an unknown type': sign({ ...WIRE, u: [[9, 'node-2', 1, 1]] }),
-  'an update without a name': sign({ ...WIRE, u: [[3]] }),
-  'facts without places': sign({ ...WIRE, u: [[0, 'node-2', 1, 1]] }),
+  'an update without a node id': sign({ ...WIRE, u: [[3]] }),
+  'facts without zone and addresses': sign({ ...WIRE, u: [[0, 'node-2', 1, 1]] }),
   'version bits above the limit': sign({ ...WIRE, d: [1, 1, Buffer.alloc(161)] }),
 };
 
-test('the document that the malformed ones are made from is well-formed', () => {
+test('the document that the malformed ones are derived from is well-formed', () => {
   assert.notEqual(codec.decode(sign(WIRE)), undefined);
 });
 
 for (const [name, datagram] of Object.entries(MALFORMED)) {
-  test(`${name} is refused`, () => {
+  test(`${name} is rejected`, () => {
     assert.equal(codec.decode(datagram), undefined);
   });
 }
--- a/src/membership/datagram-codec.ts
+++ b/src/membership/datagram-codec.ts
@@ -1,6 +1,6 @@
 /**
  * Datagrams of the membership protocol: 16 bytes of HMAC-SHA256, then a BSON document with
- * short keys. Updates are lists, so that their keys take two bytes each.
+ * short keys. Each update is encoded as an array, so that its keys take two bytes each.
  */
 import { createHmac, createSecretKey, timingSafeEqual, type KeyObject } from 'node:crypto';
 import { deserialize, serialize } from 'bson';
@@ -9,7 +9,7 @@
 import { MAX_VERSION_BITS_BYTES, type VersionDigest } from '../core/membership/version-digest.js';
 import { isCount, isMemberUpdate, isText } from './membership-calls.js';
 
-/** Largest datagram: fits an Ethernet frame with room for tunnels. */
+/** Largest datagram: fits into an Ethernet frame with room for the headers of tunnels. */
 export const MAX_DATAGRAM_BYTES = 1_400;
 
 const TAG_BYTES = 16;
@@ -38,19 +38,18 @@
   private readonly key: KeyObject;
   private readonly previousKeys: readonly KeyObject[];
 
-  /** @param previousSharedKeys accepted as well, tried after the shared key */
+  /** @param previousSharedKeys also accepted in received datagrams, tried after `sharedKey` */
   constructor(sharedKey: string, previousSharedKeys: readonly string[] = []) {
     this.key = deriveKey(sharedKey);
     this.previousKeys = previousSharedKeys.map(deriveKey);
   }
 
-  /** Encodes a message. */
   encode(message: MembershipMessage): Buffer {
     const body = serialize(toWire(message));
     return Buffer.concat([this.sign(body), body]);
   }
 
-  /** Decodes a datagram; undefined when it is foreign, damaged or malformed. */
+  /** Returns undefined when no key matches the datagram's tag or the message is malformed. */
   decode(datagram: Buffer): MembershipMessage | undefined {
     if (datagram.length <= TAG_BYTES || datagram.length > MAX_DATAGRAM_BYTES) return undefined;
     const body = datagram.subarray(TAG_BYTES);
@@ -176,7 +175,7 @@
   }
 }
 
-/** Rebuilds an update; the caller checks its members. */
+/** Rebuilds an update without checks; the caller validates it. */
 function updateFromWire(value: unknown): unknown {
   if (!Array.isArray(value)) return undefined;
   const [kind, nodeId, incarnation, third, fourth] = value as unknown[];
--- a/src/membership/member-sync.ts
+++ b/src/membership/member-sync.ts
@@ -5,20 +5,20 @@
 import { validateFetchReply, validateSyncReply } from './membership-calls.js';
 
 const SYNC_TIMEOUT_MS = 3_000;
-/** Exchanges that run at once; further ones are left out, a later one makes up for them. */
-const MAX_EXCHANGES = 2;
-/** Pages of one exchange; a guard against a peer that never ends. */
+/** Exchanges and fetches that run at once; further ones are skipped, a later one replaces them. */
+const MAX_CONCURRENT_EXCHANGES = 2;
+/** Most pages of one exchange, in case a peer never sends a last page. */
 const MAX_PAGES = 200;
 
-/** What an exchange needs of the membership state. */
+/** The membership state that exchanges read and update. */
 export interface SyncState {
   createSyncRequest(): MemberSyncRequest;
   createHandOvers(buckets: readonly number[]): readonly MemberSyncRequest[];
-  /** Takes updates in. */
+  /** Merges updates that a node has sent. */
   merge(nodeId: string, updates: readonly MemberUpdate[]): void;
 }
 
-/** Runs exchanges that this node starts. */
+/** Runs the exchanges and fetches that this node starts. */
 export class MemberSync {
   private readonly running = new Set<string>();
 
@@ -27,26 +27,27 @@
     private readonly state: SyncState,
   ) {}
 
-  /** Compares views with a node, takes its differing members and hands over the own ones. */
+  /** Compares views with a node, merges its differing members and sends this node's. */
   exchange(nodeId: string): void {
     this.runOnce(`sync ${nodeId}`, async () => {
       const request = this.state.createSyncRequest();
-      let handOvers: readonly MemberSyncRequest[] | undefined;
+      let transferRequests: readonly MemberSyncRequest[] | undefined;
       let after = '';
       for (let page = 0; page < MAX_PAGES; page += 1) {
         const reply = await this.sync(nodeId, { ...request, after });
         if (reply === undefined) return;
-        // What this node knew before it took anything in.
-        handOvers ??= this.state.createHandOvers(reply.buckets);
+        // Created before the first merge, so that they hold only what this node already knew.
+        transferRequests ??= this.state.createHandOvers(reply.buckets);
         this.state.merge(nodeId, reply.updates);
         after = reply.next;
         if (after === '') break;
       }
-      for (const handOver of handOvers ?? []) await this.sync(nodeId, handOver);
+      for (const transferRequest of transferRequests ?? [])
+        await this.sync(nodeId, transferRequest);
     });
   }
 
-  /** Gets the facts of some members from a node that has them. */
+  /** Fetches the facts of members from a node that has them. */
   fetch(source: string, nodeIds: readonly string[]): void {
     this.runOnce(`fetch ${source}`, async () => {
       const options = { timeoutMs: SYNC_TIMEOUT_MS };
@@ -63,7 +64,7 @@
   }
 
   private runOnce(name: string, run: () => Promise<void>): void {
-    if (this.running.has(name) || this.running.size >= MAX_EXCHANGES) return;
+    if (this.running.has(name) || this.running.size >= MAX_CONCURRENT_EXCHANGES) return;
     this.running.add(name);
     void run().finally(() => this.running.delete(name));
   }
--- a/src/membership/membership-calls.ts
+++ b/src/membership/membership-calls.ts
@@ -1,4 +1,4 @@
-/** Calls of the membership protocol over peer links, and the checks of their bodies. */
+/** Calls of the membership protocol over peer links, and the validation of their bodies. */
 import { Result } from 'true-myth';
 import { createFailure, type Failure } from '../core/failure.js';
 import type { MemberFacts } from '../core/member.js';
@@ -6,12 +6,12 @@
 import type { MemberSyncReply, MemberSyncRequest } from '../core/membership/membership-message.js';
 import { ResultCode } from '../core/result-code.js';
 
-/** Asks for facts that were too large for a datagram. */
+/** Requests facts that were too large for a datagram. */
 export interface MemberFetchRequest {
   readonly nodeIds: readonly string[];
 }
 
-/** The facts, of those members that the answering node knows. */
+/** Facts of those requested members that the replying node knows. */
 export interface MemberFetchReply {
   readonly updates: readonly MemberUpdate[];
 }
@@ -27,14 +27,16 @@
 const MAX_LIST_LENGTH = 1_000;
 const MAX_UPDATES = 1_000;
 /** Printable ASCII without spaces: names, IP addresses and ports. */
-const TEXT = /^[\x21-\x7e]*$/;
+const PRINTABLE_ASCII = /^[\x21-\x7e]*$/;
 
-/** Whether a value is a name or an address. */
+/** Whether a value is well-formed as a name or an address; may be empty. */
 export function isText(value: unknown): value is string {
-  return typeof value === 'string' && value.length <= MAX_TEXT_LENGTH && TEXT.test(value);
+  return (
+    typeof value === 'string' && value.length <= MAX_TEXT_LENGTH && PRINTABLE_ASCII.test(value)
+  );
 }
 
-/** Whether a value is a whole number, 0 or more. */
+/** Whether a value is a non-negative integer. */
 export function isCount(value: unknown): value is number {
   return Number.isSafeInteger(value) && (value as number) >= 0;
 }
@@ -79,7 +81,7 @@
   return Array.isArray(value) && value.length <= MAX_UPDATES && value.every(isMemberUpdate);
 }
 
-/** Checks the body of a `memberSync` request. */
+/** Validates the body of a `memberSync` request. */
 export function validateSyncRequest(body: unknown): Result<MemberSyncRequest, Failure> {
   const { hashes, after, updates } = (body ?? {}) as Record<string, unknown>;
   const isHashList = Array.isArray(hashes) && hashes.every((hash) => Number.isInteger(hash));
@@ -87,7 +89,7 @@
   return Result.ok({ hashes: hashes as number[], after, updates });
 }
 
-/** Checks the body of a `memberSync` reply. */
+/** Validates the body of a `memberSync` reply. */
 export function validateSyncReply(body: unknown): Result<MemberSyncReply, Failure> {
   const { buckets, updates, next } = (body ?? {}) as Record<string, unknown>;
   const isBucketList = Array.isArray(buckets) && buckets.every(isCount);
@@ -95,14 +97,14 @@
   return Result.ok({ buckets: buckets as number[], updates, next });
 }
 
-/** Checks the body of a `memberFetch` request. */
+/** Validates the body of a `memberFetch` request. */
 export function validateFetchRequest(body: unknown): Result<MemberFetchRequest, Failure> {
   const { nodeIds } = (body ?? {}) as Record<string, unknown>;
   if (!isTextList(nodeIds)) return malformed('memberFetch');
   return Result.ok({ nodeIds: nodeIds as string[] });
 }
 
-/** Checks the body of a `memberFetch` reply. */
+/** Validates the body of a `memberFetch` reply. */
 export function validateFetchReply(body: unknown): Result<MemberFetchReply, Failure> {
   const { updates } = (body ?? {}) as Record<string, unknown>;
   if (!isUpdateList(updates)) return malformed('memberFetch');
--- a/src/membership/membership-plugin.ts
+++ b/src/membership/membership-plugin.ts
@@ -46,7 +46,7 @@
   },
 });
 
-/** This node's facts at start; the process start makes the incarnation. */
+/** This node's facts at start; the start time is the incarnation. */
 function describeNode({ node, listen }: Settings, startedAtMs: number): MemberFacts {
   return {
     nodeId: node.id,
@@ -64,7 +64,7 @@
   };
 }
 
-/** Keeps the gauge of members by state. */
+/** Updates the gauge of members by state at each change of the view. */
 function countMembers(membership: Membership, metrics: Metrics): void {
   membership.subscribe(() => {
     const counts: Record<string, number> = { alive: 0, suspect: 0, leaving: 0 };
--- a/src/membership/membership-task.test.ts
+++ b/src/membership/membership-task.test.ts
@@ -1,4 +1,4 @@
-/** Membership over real sockets: joining, spreading, leaving and foreign input. */
+/** Membership over real sockets: joining, dissemination, leaving and invalid datagrams. */
 import assert from 'node:assert/strict';
 import { createSocket } from 'node:dgram';
 import { test, type TestContext } from 'node:test';
@@ -107,7 +107,7 @@
   });
 }
 
-test('nodes that know one seed find each other', async (context) => {
+test('nodes that know one seed discover each other', async (context) => {
   const nodes = await startFleet(context, 5);
   for (const { membership } of nodes) {
     assert.deepEqual(
@@ -117,7 +117,7 @@
   }
 });
 
-test('changed facts and a planned stop become known everywhere', async (context) => {
+test('changed facts and a planned stop reach all nodes', async (context) => {
   const nodes = await startFleet(context, 4);
   const [changing, ...others] = nodes as [Node, ...Node[]];
   const targets = ['target-1'];
@@ -136,7 +136,7 @@
   }
 });
 
-test('facts too large for a datagram arrive over the link', async (context) => {
+test('facts too large for a datagram are fetched over the link', async (context) => {
   const first = await startNode(context, 'node-1');
   const second = await startNode(context, 'node-2', { seeds: [first.address] });
   await waitFor(first, () => first.membership.members().length === 2);
@@ -160,7 +160,7 @@
   }),
 };
 
-test('foreign datagrams are dropped with an event and change nothing', async (context) => {
+test('invalid datagrams are dropped with an event and change nothing', async (context) => {
   const nodes = await startFleet(context, 2);
   const [first] = nodes as [Node, Node];
   const socket = createSocket('udp4');
@@ -183,7 +183,7 @@
   );
 });
 
-test('a node with another key stays outside', async (context) => {
+test('a node with another key cannot join', async (context) => {
   const first = await startNode(context, 'node-1');
   const stranger = await startNode(context, 'node-2', {
     seeds: [first.address],
@@ -195,7 +195,7 @@
   assert.equal(first.membership.find('node-2'), undefined);
 });
 
-test('a fleet whose shared key is changed in half of its nodes stays whole', async (context) => {
+test('a fleet does not split while half of its nodes sign with the next key', async (context) => {
   const next = 'the next key of the membership tests';
   const before = { sharedKey: KEY, previousSharedKeys: [next] };
   const after = { sharedKey: next, previousSharedKeys: [KEY] };
@@ -206,7 +206,7 @@
     nodes.push(await startNode(context, `node-${index + 2}`, { ...keys, seeds }));
   }
   for (const node of nodes) await waitFor(node, () => node.membership.members().length === 4);
-  // More than a datagram holds, so that the facts go over links.
+  // More than fits into a datagram, so that the facts are fetched over links.
   const fronts = Array.from({ length: 500 }, (_, index) => `target-${index}`);
   for (const [index, node] of nodes.entries()) {
     node.membership.update({ configVersion: index + 1, fronts });
--- a/src/membership/membership-task.ts
+++ b/src/membership/membership-task.ts
@@ -1,4 +1,4 @@
-/** Runs the membership protocol of one node: its UDP socket, its timer and its exchanges. */
+/** Runs the membership protocol of one node with a UDP socket, a timer and state exchanges. */
 import { createSocket, type RemoteInfo, type Socket } from 'node:dgram';
 import { Result } from 'true-myth';
 import { splitAddress } from '../core/host-and-port.js';
@@ -26,11 +26,11 @@
 import type { Membership } from './membership.js';
 import { PacedNotifier } from './paced-notifier.js';
 
-/** Longest wait of {@link MembershipTask.leave}, in milliseconds. */
-const LEAVE_LIMIT_MS = 1_500;
+/** Longest wait of {@link MembershipTask.leave}. */
+const LEAVE_TIMEOUT_MS = 1_500;
 
-/** Least pause between two log lines about foreign datagrams, in milliseconds. */
-const FOREIGN_LOG_PAUSE_MS = 1_000;
+/** Shortest time between two log lines about rejected datagrams. */
+const MIN_REJECTION_LOG_INTERVAL_MS = 1_000;
 
 const EVENTS: Readonly<Record<MembershipEvent, Event>> = {
   joined: Event.MemberJoined,
@@ -40,22 +40,21 @@
   refuted: Event.MemberRefuted,
 };
 
-/** Options of the task. */
 export interface MembershipTaskOptions {
   /** This node's facts at start; datagrams go to and from its peer address. */
   readonly facts: MemberFacts;
   readonly seeds: readonly string[];
   readonly sharedKey: string;
-  /** Keys that datagrams may be signed with instead; none when absent. */
+  /** Further keys that received datagrams may be signed with; none when absent. */
   readonly previousSharedKeys?: readonly string[];
   readonly maxMailboxLength: number;
   readonly network: PeerNetwork;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly random: Random;
-  /** Counts the bytes of all datagrams, when given. */
+  /** Counts the bytes of all datagrams; optional. */
   readonly traffic?: TrafficMeter;
-  /** Timing; the defaults when absent. */
+  /** Timing of the protocol; the defaults when absent. */
   readonly protocol?: MembershipOptions;
 }
 
@@ -85,8 +84,8 @@
   private view: readonly Member[] | undefined;
   private cancelTimer: CancelTimer | undefined;
   private timerAt = Infinity;
-  private foreignCount = 0;
-  private foreignLoggedAt = -Infinity;
+  private rejectedCount = 0;
+  private rejectionLoggedAt = -Infinity;
 
   constructor(private readonly options: MembershipTaskOptions) {
     super('membership', options.maxMailboxLength);
@@ -101,7 +100,7 @@
     this.registerHandlers(options.network);
   }
 
-  /** Binds the UDP socket and joins; rejects when the address cannot be bound. */
+  /** Binds the UDP socket and joins the fleet; rejects when the address cannot be bound. */
   async start(): Promise<void> {
     const { host, port } = splitAddress(this.options.facts.peerAddress);
     const socket = createSocket(host.includes(':') ? 'udp6' : 'udp4');
@@ -120,7 +119,7 @@
     this.post({ type: 'start' });
   }
 
-  /** Closes the socket and the timer; says nothing to the others. */
+  /** Closes the socket and cancels the timers; sends nothing to the other nodes. */
   stop(): void {
     this.cancelTimer?.();
     this.notifier.stop();
@@ -155,11 +154,11 @@
     this.post({ type: 'leave' });
     if (this.protocol.isLeaveSpread || this.members().length <= 1) return;
     await new Promise<void>((resolve) => {
-      const cancelLimit = this.options.clock.schedule(LEAVE_LIMIT_MS, () => {
+      const cancelTimeout = this.options.clock.schedule(LEAVE_TIMEOUT_MS, () => {
         wake();
       });
       const wake = (): void => {
-        cancelLimit();
+        cancelTimeout();
         this.leaveWaiters.delete(wake);
         resolve();
       };
@@ -209,19 +208,19 @@
     const message = this.codec.decode(datagram);
     const address = formatAddress(from);
     if (message === undefined) {
-      this.reportForeign(now, address, datagram.length);
+      this.logRejectedDatagram(now, address, datagram.length);
       return [];
     }
     return this.protocol.onMessage(now, address, message);
   }
 
-  /** Logs at a bounded rate, so that a flood of datagrams is not one of log lines. */
-  private reportForeign(now: number, address: string, bytes: number): void {
-    this.foreignCount += 1;
-    if (now - this.foreignLoggedAt < FOREIGN_LOG_PAUSE_MS) return;
-    this.foreignLoggedAt = now;
-    const detail = `${this.foreignCount} foreign datagram(s), the last of ${bytes} bytes`;
-    this.foreignCount = 0;
+  /** Logs at a bounded rate, so that a flood of datagrams does not flood the log. */
+  private logRejectedDatagram(now: number, address: string, bytes: number): void {
+    this.rejectedCount += 1;
+    if (now - this.rejectionLoggedAt < MIN_REJECTION_LOG_INTERVAL_MS) return;
+    this.rejectionLoggedAt = now;
+    const detail = `${this.rejectedCount} invalid datagram(s) dropped, the last of ${bytes} bytes`;
+    this.rejectedCount = 0;
     this.options.log.emit(Event.FrameRejected, { link: `datagram from ${address}`, detail });
   }
 
@@ -231,7 +230,7 @@
       switch (action.type) {
         case 'send': {
           const { host, port } = splitAddress(action.to);
-          // A datagram that cannot be sent is one that was lost.
+          // Ignores send errors: the protocol treats an unsent datagram like a lost one.
           const datagram = this.codec.encode(action.message);
           this.options.traffic?.count('udp', 'sent', datagram.length);
           this.socket?.send(datagram, port, host, () => {});
@@ -276,7 +275,11 @@
             resolve(Result.ok(value));
           };
           if (!this.post({ type: 'sync-request', nodeId, request, resolve: reply })) {
-            resolve(Result.err(createFailure(ResultCode.MailboxFull, 'membership is busy')));
+            resolve(
+              Result.err(
+                createFailure(ResultCode.MailboxFull, 'mailbox of the membership task is full'),
+              ),
+            );
           }
         }),
     );
--- a/src/membership/paced-notifier.test.ts
+++ b/src/membership/paced-notifier.test.ts
@@ -1,25 +1,25 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ManualClock } from '../kernel/clock.js';
-import { NOTIFY_PAUSE_MS, PacedNotifier } from './paced-notifier.js';
+import { MIN_NOTIFY_INTERVAL_MS, PacedNotifier } from './paced-notifier.js';
 
-test('the first change is told at once, those that follow together after the pause', () => {
+test('the first change is notified at once, later ones together after the minimum interval', () => {
   const clock = new ManualClock();
   const notifier = new PacedNotifier(clock);
-  const toldAt: number[] = [];
-  const unsubscribe = notifier.subscribe(() => toldAt.push(clock.now()));
+  const notifiedAt: number[] = [];
+  const unsubscribe = notifier.subscribe(() => notifiedAt.push(clock.now()));
   for (let change = 0; change < 50; change += 1) {
     notifier.notify();
     clock.advance(1);
   }
-  assert.deepEqual(toldAt, [0]);
-  clock.advance(NOTIFY_PAUSE_MS);
-  assert.deepEqual(toldAt, [0, NOTIFY_PAUSE_MS]);
-  clock.advance(NOTIFY_PAUSE_MS);
+  assert.deepEqual(notifiedAt, [0]);
+  clock.advance(MIN_NOTIFY_INTERVAL_MS);
+  assert.deepEqual(notifiedAt, [0, MIN_NOTIFY_INTERVAL_MS]);
+  clock.advance(MIN_NOTIFY_INTERVAL_MS);
   notifier.notify();
-  assert.equal(toldAt.length, 3);
+  assert.equal(notifiedAt.length, 3);
   unsubscribe();
-  clock.advance(NOTIFY_PAUSE_MS);
+  clock.advance(MIN_NOTIFY_INTERVAL_MS);
   notifier.notify();
-  assert.equal(toldAt.length, 3);
+  assert.equal(notifiedAt.length, 3);
 });
--- a/src/membership/paced-notifier.ts
+++ b/src/membership/paced-notifier.ts
@@ -1,16 +1,16 @@
-/** Notifies listeners of changes, the first at once and later ones at a bounded rate. */
 import type { CancelTimer, Clock } from '../kernel/clock.js';
 
-/** Least pause between two notifications, in milliseconds. */
-export const NOTIFY_PAUSE_MS = 100;
+/** Shortest time between two notifications. */
+export const MIN_NOTIFY_INTERVAL_MS = 100;
 
 /**
- * Listeners rebuild what they derive from the view; in a large fleet that loses a rack the
- * view changes hundreds of times a second.
+ * Notifies listeners of changes, the first at once and later ones at a bounded rate. Listeners
+ * rebuild what they derive from the view, and in a large fleet that loses a rack the view changes
+ * hundreds of times a second.
  */
 export class PacedNotifier {
   private readonly listeners = new Set<() => void>();
-  private lastAt = -Infinity;
+  private lastNotifiedAt = -Infinity;
   private cancelTimer: CancelTimer | undefined;
 
   constructor(private readonly clock: Clock) {}
@@ -23,10 +23,10 @@
     };
   }
 
-  /** Something has changed. */
+  /** Notifies now, or once the minimum interval has passed; changes until then share one call. */
   notify(): void {
     if (this.cancelTimer !== undefined) return;
-    const waitMs = this.lastAt + NOTIFY_PAUSE_MS - this.clock.now();
+    const waitMs = this.lastNotifiedAt + MIN_NOTIFY_INTERVAL_MS - this.clock.now();
     if (waitMs <= 0) this.callListeners();
     else
       this.cancelTimer = this.clock.schedule(waitMs, () => {
@@ -34,14 +34,14 @@
       });
   }
 
-  /** Drops a notification that waits. */
+  /** Cancels a pending notification. */
   stop(): void {
     this.cancelTimer?.();
   }
 
   private callListeners(): void {
     this.cancelTimer = undefined;
-    this.lastAt = this.clock.now();
+    this.lastNotifiedAt = this.clock.now();
     for (const listener of [...this.listeners]) listener();
   }
 }
