--- a/src/etcd/etcd-messages.ts
+++ b/src/etcd/etcd-messages.ts
@@ -1,9 +1,9 @@
-/** The etcd v3 JSON gateway's messages as the client writes and reads them. */
+/** Messages of the etcd v3 JSON gateway: schemas of answers and constructors of requests. */
 import { z } from 'zod';
 import type { Compare, KeyValue, Machine, Put, RangeResult } from './platform-client.js';
 
 const text = z.base64().transform((value) => Buffer.from(value, 'base64').toString('utf8'));
-/** 64-bit numbers travel as text; revisions stay far below 2^53. */
+/** 64-bit integers are encoded as strings; revisions stay far below 2^53. */
 const integer = z
   .string()
   .regex(/^\d{1,15}$/)
@@ -50,7 +50,7 @@
   }),
 });
 
-/** Answer of the list of machines. */
+/** Answer with the list of machines. */
 export const machinesAnswerSchema = z.object({
   machines: z.array(
     z.object({
@@ -63,12 +63,12 @@
   ),
 }) satisfies z.ZodType<{ machines: Machine[] }>;
 
-/** Request for all keys with a prefix. */
+/** Creates a request for all keys with a prefix. */
 export function createRangeRequest(prefix: string): object {
   return { key: encode(prefix), range_end: encode(endOfPrefix(prefix)) };
 }
 
-/** Request for a transaction: all compares hold, then all puts, as one revision. */
+/** Creates a transaction request: when all compares hold, applies all puts as one revision. */
 export function createTransactionRequest(
   compares: readonly Compare[],
   puts: readonly Put[],
@@ -86,7 +86,7 @@
   };
 }
 
-/** Request for a watch of all keys with a prefix. */
+/** Creates a request for a watch of all keys with a prefix. */
 export function createWatchRequest(prefix: string, fromRevision: number): object {
   const range = createRangeRequest(prefix);
   return { create_request: { ...range, start_revision: String(fromRevision) } };
@@ -96,7 +96,7 @@
   return Buffer.from(value as string).toString('base64');
 }
 
-/** The first key after all keys with the prefix: its last byte raised by one. */
+/** The first key after all keys with the prefix: the prefix with its last byte incremented. */
 function endOfPrefix(prefix: string): Buffer {
   const end = Buffer.from(prefix);
   const last = end.length - 1;
--- a/src/etcd/etcd-platform-client.test.ts
+++ b/src/etcd/etcd-platform-client.test.ts
@@ -1,4 +1,4 @@
-/** Contract of PlatformClient against the platform stand-in: one row a fault. */
+/** Contract of PlatformClient, tested against the platform stand-in: one row per fault. */
 import assert from 'node:assert/strict';
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -15,9 +15,9 @@
 import type { WatchEvent } from './platform-client.js';
 
 const host = '127.0.0.1';
-/** Time limit where an exchange is to run into it. */
+/** Time limit for exchanges that should time out. */
 const SHORT_TIMEOUT_MS = 250;
-/** Time limit where it is not: a busy machine must not look like a fault. */
+/** Time limit for the others: long, so that a busy machine does not look like a fault. */
 const LONG_TIMEOUT_MS = 10_000;
 const NO_FAULTS: ControlRequest = {
   outage: 'none',
@@ -77,7 +77,7 @@
   /** Keys in the store after the write; absent where a late effect is possible. */
   readonly stored?: number;
   readonly read: ResultCode | 'ok';
-  /** Whether the write runs into its time limit. */
+  /** Whether the write times out. */
   readonly timesOut?: boolean;
 }
 
@@ -165,7 +165,7 @@
   });
 }
 
-test('a refusal by rate has no effect, and the client then pauses by itself', async () => {
+test('a request over the rate limit has no effect, and the client then pauses', async () => {
   const client = createClient();
   await standIn.control({ requestsPerSecond: 1 });
   await client.range('/test/');
@@ -197,13 +197,13 @@
 });
 
 test('a write stops at an endpoint that may have carried it out; a read goes on', async () => {
-  const silent = await startPlatformStandIn({
+  const resetting = await startPlatformStandIn({
     host,
     port: 0,
     seed: 1,
     faults: { outage: 'reset' },
   });
-  const url = `http://${host}:${silent.port}`;
+  const url = `http://${host}:${resetting.port}`;
   const written = await createClient(url, standInUrl()).transact(
     [],
     [{ key: `/test/${key}`, value: 'x' }],
@@ -213,10 +213,10 @@
   assert.equal(storedKeys(), 0);
   const read = await createClient(url, standInUrl()).range('/test/');
   assert.ok(read.isOk);
-  await silent.close();
+  await resetting.close();
 });
 
-/** Answers that a broken proxy could give. */
+/** Answers that a broken proxy could send. */
 const strangeAnswers: readonly (readonly [number, string])[] = [
   [200, '[]'],
   [200, '{}'],
@@ -287,7 +287,7 @@
   return events.flatMap((event) => (event.type === 'put' ? [event.keyValue.value] : []));
 }
 
-test('a watch delivers earlier and later changes in order, and says when it is lost', async () => {
+test('a watch delivers earlier and later changes in order, then its loss', async () => {
   const first = await put('1');
   await put('2');
   const collected = collectUntilLost(createClient(), first);
--- a/src/etcd/etcd-platform-client.ts
+++ b/src/etcd/etcd-platform-client.ts
@@ -1,6 +1,7 @@
 /**
- * PlatformClient over the etcd v3 JSON gateway. Reads go to the next endpoint after any
- * failure; a write only when it has certainly not been sent, and is never repeated.
+ * PlatformClient over the etcd v3 JSON gateway. A read goes to the next endpoint after any failure
+ * but a rate limit or a rejection; a write only when it has certainly not been sent. A write that
+ * may have been carried out is never retried.
  */
 import { Result } from 'true-myth';
 import type { z } from 'zod';
@@ -29,15 +30,14 @@
 } from './platform-client.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** Requests a second that one node sends to the key-value service at most. */
-const RATE_PER_SECOND = 5;
+/** Limit of one node's requests to the key-value service. */
+const MAX_REQUESTS_PER_SECOND = 5;
 /** Requests that one node may send at once. */
-const BURST = 20;
-/** First pause after a refusal by rate; doubles up to the maximum, with full jitter. */
+const MAX_BURST_REQUESTS = 20;
+/** First backoff after the service's rate limit; doubles up to the maximum, with full jitter. */
 const MIN_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 5_000;
 
-/** How a client is made. */
 export interface EtcdPlatformClientOptions {
   /** Base URLs of the key-value service. */
   readonly endpoints: readonly string[];
@@ -51,7 +51,7 @@
   readonly seed: number;
 }
 
-/** The client; see {@link PlatformClient} for the failures. */
+/** {@link PlatformClient} describes the failures. */
 export class EtcdPlatformClient implements PlatformClient {
   private readonly bucket: TokenBucket;
   private readonly random: Random;
@@ -60,7 +60,11 @@
   private lastSucceeded = true;
 
   constructor(private readonly options: EtcdPlatformClientOptions) {
-    const limits = { ratePerSecond: RATE_PER_SECOND, burst: BURST, maxWaitMs: options.timeoutMs };
+    const limits = {
+      ratePerSecond: MAX_REQUESTS_PER_SECOND,
+      burst: MAX_BURST_REQUESTS,
+      maxWaitMs: options.timeoutMs,
+    };
     this.bucket = new TokenBucket(options.clock, limits);
     this.random = createRandom(options.seed);
   }
@@ -97,7 +101,9 @@
     if (result.type !== 'answer') return Result.err(toFailure(result, false));
     const parsed = machinesAnswerSchema.safeParse(result.body);
     if (parsed.success) return Result.ok(parsed.data.machines);
-    return Result.err(createFailure(ResultCode.PlatformUnavailable, 'unreadable list of machines'));
+    return Result.err(
+      createFailure(ResultCode.PlatformUnavailable, 'list of machines has an unexpected form'),
+    );
   }
 
   private async run<T>(
@@ -109,7 +115,7 @@
     const waitMs = this.bucket.reserve();
     if (waitMs === undefined) return Result.err(this.createRateFailure('by this client'));
     if (waitMs > 0) await this.sleep(waitMs);
-    let last: ExchangeResult = { type: 'not-sent', detail: 'no endpoint' };
+    let last: ExchangeResult = { type: 'not-sent', detail: 'no endpoint configured' };
     for (const endpoint of this.endpointsInOrder()) {
       const url = `${endpoint}${path}`;
       const { timeoutMs } = this.options;
@@ -143,12 +149,12 @@
   private backOff(atLeastMs: number): void {
     const ceiling = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.refusals);
     this.refusals += 1;
-    this.bucket.hold(atLeastMs + MIN_BACKOFF_MS + this.random.next() * ceiling);
+    this.bucket.pause(atLeastMs + MIN_BACKOFF_MS + this.random.next() * ceiling);
   }
 
   private createRateFailure(by: string): Failure {
-    const retryAfterMs = Math.ceil(Math.max(MIN_BACKOFF_MS, this.bucket.heldForMs));
-    const detail = `rate of the key-value service is limited ${by}`;
+    const retryAfterMs = Math.ceil(Math.max(MIN_BACKOFF_MS, this.bucket.pauseRemainingMs));
+    const detail = `requests to the key-value service are rate-limited ${by}`;
     return createFailure(ResultCode.PlatformRateLimited, detail, { retryAfterMs });
   }
 
@@ -172,12 +178,12 @@
   }
 }
 
-/** An answer whose body does not have the expected form says nothing about the effect. */
+/** An answer of unexpected form does not show whether the request had an effect: `unclear`. */
 function checkBody<T>(result: ExchangeResult, schema: z.ZodType<T>): ExchangeResult {
   if (result.type !== 'answer') return result;
   const parsed = schema.safeParse(result.body);
   if (parsed.success) return { type: 'answer', body: parsed.data };
-  return { type: 'unclear', detail: 'answer of unexpected form' };
+  return { type: 'unclear', detail: 'answer has an unexpected form' };
 }
 
 function toFailure(result: ExchangeResult, isWrite: boolean): Failure {
--- a/src/etcd/etcd-watch.ts
+++ b/src/etcd/etcd-watch.ts
@@ -7,18 +7,17 @@
 import { classifyError, unpooledAgents } from './http-exchange.js';
 import type { WatchEvent } from './platform-client.js';
 
-/** What a watch needs. */
 export interface WatchOptions {
   /** Base URL of the key-value service. */
   readonly url: string;
   readonly prefix: string;
   readonly fromRevision: number;
-  /** Time limit until the stream is open, in milliseconds. */
+  /** Time limit for opening the stream, in milliseconds. */
   readonly timeoutMs: number;
 }
 
 /**
- * Opens the stream; events come in order of revision, then exactly one `lost` unless the
+ * Opens the stream. Events arrive in order of revision, followed by exactly one `lost`, unless the
  * returned function has stopped the watch.
  */
 export function openWatch(
@@ -42,22 +41,22 @@
     const failure = createFailure(ResultCode.PlatformUnavailable, `watch lost: ${detail}`);
     listener({ type: 'lost', failure });
   };
-  const endByError = (error: unknown) => {
+  const endWithError = (error: unknown) => {
     const result = classifyError(error);
     end('detail' in result ? result.detail : result.type);
   };
-  stream.on('error', endByError);
+  stream.on('error', endWithError);
   const lines = createInterface({ input: stream });
-  // The interface passes the errors of its input on.
-  lines.on('error', endByError);
+  // The readline interface emits the errors of its input again.
+  lines.on('error', endWithError);
   lines.on('line', (line) => {
     if (!ended) handleLine(line, listener, end);
   });
-  // `close` of the lines comes only after the buffered lines have been handled.
+  // `lines` emits `close` only after all buffered lines have been handled.
   lines.on('close', () => {
     end('stream ended');
   });
-  // A socket that was destroyed in the middle may not end the lines.
+  // When the socket is destroyed in the middle of the stream, `lines` may not emit `close`.
   stream.on('close', () => {
     end('stream closed');
   });
@@ -73,14 +72,15 @@
 ): void {
   const parsed = watchLineSchema.safeParse(parseJson(line));
   if (!parsed.success) {
-    end('unreadable line');
+    end('line is not a watch message');
     return;
   }
   const { events, canceled, compact_revision } = parsed.data.result;
   for (const { type, kv } of events) {
     if (type === 'PUT') listener({ type: 'put', keyValue: kv });
   }
-  if (canceled) end(`canceled by the service, history compacted up to ${compact_revision}`);
+  if (canceled)
+    end(`canceled by the service, history compacted up to revision ${compact_revision}`);
 }
 
 function parseJson(line: string): unknown {
--- a/src/etcd/http-exchange.ts
+++ b/src/etcd/http-exchange.ts
@@ -1,4 +1,4 @@
-/** One HTTP exchange with the platform by got, with what is known when it fails. Never retries. */
+/** One HTTP exchange with the platform, never retried; a failure shows what is known of its effect. */
 import { Agent } from 'node:http';
 import { Agent as SecureAgent } from 'node:https';
 import got, { RequestError, TimeoutError } from 'got';
@@ -7,16 +7,15 @@
 export type ExchangeResult =
   /** A complete answer with a JSON body and status 200. */
   | { readonly type: 'answer'; readonly body: unknown }
-  /** The service refused by rate: not carried out. */
+  /** The service's rate limit was reached: not carried out. */
   | { readonly type: 'rate-limited'; readonly retryAfterMs?: number }
-  /** The service refused the request as such: not carried out. */
+  /** The service rejected the request itself: not carried out. */
   | { readonly type: 'rejected'; readonly detail: string }
-  /** No connection: not carried out. */
+  /** No connection was established: not carried out. */
   | { readonly type: 'not-sent'; readonly detail: string }
   /** Sent, but no usable answer: may have been carried out. */
   | { readonly type: 'unclear'; readonly detail: string };
 
-/** One exchange. */
 export interface ExchangeOptions {
   readonly method: 'GET' | 'POST';
   readonly url: string;
@@ -26,8 +25,8 @@
 }
 
 /**
- * Each exchange has its own connection: on a pooled one that the service has just closed, a
- * write would end `unclear` although it never arrived. Exchanges are rare enough for it.
+ * Each exchange opens its own connection: on a pooled one that the service has just closed, a write
+ * would be `unclear` although it never arrived. Exchanges are rare enough to afford this.
  */
 export const unpooledAgents = {
   http: new Agent({ keepAlive: false }),
@@ -37,7 +36,7 @@
 const HTTP_OK = 200;
 const HTTP_TOO_MANY_REQUESTS = 429;
 
-/** gRPC status codes with which the service refuses a request before any effect. */
+/** gRPC status codes with which the service rejects a request before any effect. */
 const REJECTING_GRPC_CODES: ReadonlySet<number> = new Set([
   3, // InvalidArgument
   5, // NotFound
@@ -47,7 +46,7 @@
 ]);
 const GRPC_RESOURCE_EXHAUSTED = 8;
 
-/** System errors before a connection exists. */
+/** Codes of system errors that occur before a connection exists. */
 const CONNECT_ERRORS: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -88,7 +87,7 @@
   return { type: 'unclear', detail };
 }
 
-/** Classifies a whole answer by its status and its gRPC-style error body. */
+/** Classifies a complete answer by its status and its gRPC-style error body. */
 export function classifyAnswer(
   status: number,
   retryAfter: string | undefined,
--- a/src/etcd/machine-list-poller.test.ts
+++ b/src/etcd/machine-list-poller.test.ts
@@ -11,7 +11,7 @@
   return { id, role: 'target', state: 'live', address: `${id}:1`, zone: 'zone-a', ...changes };
 }
 
-test('nodes become seeds; leaving targets are published, kept in an outage and taken back', async () => {
+test('nodes become seeds; leaving targets are published, kept in an outage, withdrawn', async () => {
   const fleet = new SimulatedConfigFleet();
   const node = fleet.startNode('zone-a');
   const leavingTargets = new LeavingTargets(node);
@@ -41,7 +41,7 @@
   poller.stop();
 });
 
-test('of a zone only the watchers poll', async () => {
+test('only the watchers of a zone poll', async () => {
   const fleet = new SimulatedConfigFleet();
   let polls = 0;
   const { machines } = fleet.platform;
@@ -60,7 +60,7 @@
   });
   for (const poller of pollers) poller.start();
   await fleet.advance(100);
-  assert.equal(polls, 6, 'each once at its start');
+  assert.equal(polls, 6, 'each node polls once at its start');
   polls = 0;
   await fleet.advance(20_000);
   // Two nodes at an interval of 1.5 s to 2.5 s.
--- a/src/etcd/machine-list-poller.ts
+++ b/src/etcd/machine-list-poller.ts
@@ -1,6 +1,6 @@
 /**
- * Polls the platform's list of machines while this node is one of its zone's watchers, and
- * once at start. Addresses of nodes go to membership as seeds, leaving targets are published.
+ * Polls the platform's list of machines once at start, then while this node is one of its zone's
+ * watchers. Passes addresses of nodes to membership as seeds and publishes leaving targets.
  */
 import type { Random } from '../core/random.js';
 import type { CancelTimer, Clock } from '../kernel/clock.js';
@@ -10,10 +10,9 @@
 import { isZoneWatcher } from '../membership/zone-watchers.js';
 import type { Machine, PlatformClient } from './platform-client.js';
 
-/** Mean interval of polls in milliseconds; the actual one varies by a quarter. */
+/** Mean interval of polls; each varies by up to a quarter. */
 export const MACHINE_POLL_INTERVAL_MS = 2_000;
 
-/** What the poller works with. */
 export interface MachineListPollerOptions {
   readonly platform: PlatformClient;
   readonly membership: Membership;
@@ -23,10 +22,9 @@
   readonly random: Random;
 }
 
-/** The poller of one node. */
 export class MachineListPoller {
   private stopped = false;
-  private lastSeen = '';
+  private lastSnapshot = '';
   private cancelTimer: CancelTimer = () => {};
 
   constructor(private readonly options: MachineListPollerOptions) {}
@@ -41,10 +39,10 @@
   }
 
   private async poll(): Promise<void> {
-    const read = await this.options.platform.machines();
+    const result = await this.options.platform.machines();
     if (this.stopped) return;
-    // A list that cannot be read says nothing: what was seen before stands.
-    if (read.isOk) this.takeIn(read.value);
+    // When the list cannot be read, the last one stays in effect.
+    if (result.isOk) this.apply(result.value);
     this.pollLater();
   }
 
@@ -56,26 +54,29 @@
         void this.poll();
         return;
       }
-      // Another node watches: what this one saw is out of date and must not stand for ever.
+      // Other nodes watch now. This node no longer refreshes its list, so the leaving targets of
+      // its last list would stay published forever.
       leavingTargets.set('machine-list', []);
       this.pollLater();
     });
   }
 
-  private takeIn(machines: readonly Machine[]): void {
+  private apply(machines: readonly Machine[]): void {
     const { membership, leavingTargets, log } = this.options;
-    const own = membership.self().peerAddress;
+    const ownAddress = membership.self().peerAddress;
     const seeds = machines
-      .filter(({ role, state, address }) => role === 'node' && state === 'live' && address !== own)
+      .filter(
+        ({ role, state, address }) => role === 'node' && state === 'live' && address !== ownAddress,
+      )
       .map(({ address }) => address);
     const leaving = machines
       .filter(({ role, state }) => role === 'target' && state === 'leaving')
       .map(({ id }) => id);
     membership.addSeeds(seeds);
     leavingTargets.set('machine-list', leaving);
-    const seen = JSON.stringify(machines);
-    if (seen === this.lastSeen) return;
-    this.lastSeen = seen;
+    const snapshot = JSON.stringify(machines);
+    if (snapshot === this.lastSnapshot) return;
+    this.lastSnapshot = snapshot;
     log.emit(Event.MachineListUpdated, { machines: machines.length, leaving: leaving.join(' ') });
   }
 }
--- a/src/etcd/platform-client.ts
+++ b/src/etcd/platform-client.ts
@@ -1,7 +1,7 @@
 /**
  * The platform's services as sillshore uses them: a small key-value service (JSON form of
- * the etcd v3 API: kv/range, kv/txn, lease/grant, lease/keepalive, watch) and the lagging
- * list of machines. Every answer may be lost after its effect.
+ * the etcd v3 API: kv/range, kv/txn, lease/grant, lease/keepalive, watch) and the list of
+ * machines, which lags. Any answer may be lost after the request had its effect.
  */
 import type { Result } from 'true-myth';
 import type { Failure } from '../core/failure.js';
@@ -40,7 +40,7 @@
   readonly revision: number;
 }
 
-/** One machine of the platform's list. */
+/** An entry of the platform's list of machines. */
 export interface Machine {
   readonly id: string;
   readonly role: 'node' | 'target';
@@ -65,9 +65,9 @@
     compares: readonly Compare[],
     puts: readonly Put[],
   ): Promise<Result<TransactionResult, Failure>>;
-  /** Watches a prefix from a revision on; ends with `lost`. Returns the stop function. */
+  /** Watches a prefix from a revision on, until `lost`; returns the function that stops it. */
   watch(prefix: string, fromRevision: number, listener: (event: WatchEvent) => void): () => void;
   machines(): Promise<Result<readonly Machine[], Failure>>;
-  /** Whether the last exchange succeeded. */
+  /** Whether the last exchange with the key-value service succeeded. */
   readonly available: boolean;
 }
--- a/src/etcd/platform-plugin.ts
+++ b/src/etcd/platform-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in: the client of the platform and the poll of its list of machines. */
+/** Plug-in: the client of the platform and the poller of its list of machines. */
 import { combineHashes, hash32 } from '../core/hash.js';
 import { createRandom } from '../core/random.js';
 import { registerPlugin, StartOrder } from '../kernel/plugin.js';
--- a/src/etcd/token-bucket.ts
+++ b/src/etcd/token-bucket.ts
@@ -1,21 +1,20 @@
-/** Client-side rate limit towards the platform: a token bucket that can be held shut for a while. */
+/** Client-side rate limit for requests to the platform: a token bucket that can be paused. */
 import type { Clock } from '../kernel/clock.js';
 
-/** Limits of a bucket. */
 export interface TokenBucketOptions {
   readonly ratePerSecond: number;
-  /** Requests that may go at once after a pause. */
+  /** Requests that may be sent at once when the bucket is full. */
   readonly burst: number;
-  /** Longest wait for a token, in milliseconds; a request that would wait longer is refused. */
+  /** Longest wait for a token, in milliseconds; requests that would wait longer are refused. */
   readonly maxWaitMs: number;
 }
 
-/** A token bucket in which requests reserve their turn. */
+/** A token bucket from which requests reserve tokens in advance. */
 export class TokenBucket {
   private readonly intervalMs: number;
-  /** Time at which the bucket will next be full again. */
+  /** Time at which the bucket will be full, if no further token is reserved. */
   private fullAt = Number.NEGATIVE_INFINITY;
-  private heldUntil = Number.NEGATIVE_INFINITY;
+  private pausedUntil = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly clock: Clock,
@@ -25,27 +24,27 @@
   }
 
   /**
-   * Reserves a turn.
+   * Reserves a token.
    *
    * @returns milliseconds to wait, or undefined when that would be longer than `maxWaitMs`
    */
   reserve(): number | undefined {
     const now = this.clock.now();
     const fullAt = Math.max(this.fullAt, now) + this.intervalMs;
-    const inTurn = fullAt - this.options.burst * this.intervalMs;
-    const waitMs = Math.max(0, inTurn - now, this.heldUntil - now);
+    const availableAt = fullAt - this.options.burst * this.intervalMs;
+    const waitMs = Math.max(0, availableAt - now, this.pausedUntil - now);
     if (waitMs > this.options.maxWaitMs) return undefined;
     this.fullAt = fullAt;
     return waitMs;
   }
 
-  /** Lets nobody through for a while (the service has refused by rate). */
-  hold(durationMs: number): void {
-    this.heldUntil = Math.max(this.heldUntil, this.clock.now() + durationMs);
+  /** Delays later requests by at least this time, after the service's rate limit was reached. */
+  pause(durationMs: number): void {
+    this.pausedUntil = Math.max(this.pausedUntil, this.clock.now() + durationMs);
   }
 
-  /** Milliseconds until the bucket is no longer held. */
-  get heldForMs(): number {
-    return Math.max(0, this.heldUntil - this.clock.now());
+  /** Remaining milliseconds of the pause; 0 when not paused. */
+  get pauseRemainingMs(): number {
+    return Math.max(0, this.pausedUntil - this.clock.now());
   }
 }
