--- a/src/etcd/etcd-platform-client.ts
+++ b/src/etcd/etcd-platform-client.ts
@@ -125,7 +125,7 @@
         return Result.ok(last.body as T);
       }
       if (last.type === 'rate-limited') {
-        this.backOff(last.retryAfterMs ?? 0);
+        this.pauseAfterRateLimit(last.retryAfterMs ?? 0);
         return Result.err(this.createRateFailure('by the service'));
       }
       if (last.type === 'rejected') break;
@@ -146,7 +146,7 @@
     this.preferred = (this.preferred + 1) % this.options.endpoints.length;
   }
 
-  private backOff(atLeastMs: number): void {
+  private pauseAfterRateLimit(atLeastMs: number): void {
     const ceiling = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.refusals);
     this.refusals += 1;
     this.bucket.pause(atLeastMs + MIN_BACKOFF_MS + this.random.next() * ceiling);
--- a/src/etcd/http-exchange.ts
+++ b/src/etcd/http-exchange.ts
@@ -1,4 +1,4 @@
-/** One HTTP exchange with the platform, never retried; a failure shows what is known of its effect. */
+/** One HTTP exchange with the platform. Never retries; failures show whether an effect is possible. */
 import { Agent } from 'node:http';
 import { Agent as SecureAgent } from 'node:https';
 import got, { RequestError, TimeoutError } from 'got';
--- a/src/membership/datagram-codec.ts
+++ b/src/membership/datagram-codec.ts
@@ -49,7 +49,7 @@
     return Buffer.concat([this.sign(body), body]);
   }
 
-  /** Returns undefined when no key matches the datagram's tag or the message is malformed. */
+  /** Returns undefined when the datagram is not signed with an accepted key, or is malformed. */
   decode(datagram: Buffer): MembershipMessage | undefined {
     if (datagram.length <= TAG_BYTES || datagram.length > MAX_DATAGRAM_BYTES) return undefined;
     const body = datagram.subarray(TAG_BYTES);
--- a/src/membership/member-sync.ts
+++ b/src/membership/member-sync.ts
@@ -5,7 +5,7 @@
 import { validateFetchReply, validateSyncReply } from './membership-calls.js';
 
 const SYNC_TIMEOUT_MS = 3_000;
-/** Exchanges and fetches that run at once; further ones are skipped, a later one replaces them. */
+/** Concurrent exchanges and fetches; further ones are skipped, a later one makes up for them. */
 const MAX_CONCURRENT_EXCHANGES = 2;
 /** Most pages of one exchange, in case a peer never sends a last page. */
 const MAX_PAGES = 200;
--- a/src/membership/membership-task.test.ts
+++ b/src/membership/membership-task.test.ts
@@ -145,7 +145,7 @@
   await waitFor(first, () => first.membership.find('node-2')?.fronts.length === 500);
 });
 
-const FOREIGN: Record<string, Buffer> = {
+const INVALID_DATAGRAMS: Record<string, Buffer> = {
   'an empty datagram': Buffer.alloc(0),
   'zero bytes': Buffer.alloc(64),
   text: Buffer.from('GET / HTTP/1.1\r\n\r\n'),
@@ -166,7 +166,7 @@
   const socket = createSocket('udp4');
   context.after(() => socket.close());
   const { host, port } = splitAddress(first.address);
-  for (const datagram of Object.values(FOREIGN)) {
+  for (const datagram of Object.values(INVALID_DATAGRAMS)) {
     await new Promise<void>((resolve) => {
       socket.send(datagram, port, host, () => {
         resolve();
@@ -185,13 +185,13 @@
 
 test('a node with another key cannot join', async (context) => {
   const first = await startNode(context, 'node-1');
-  const stranger = await startNode(context, 'node-2', {
+  const nodeWithOtherKey = await startNode(context, 'node-2', {
     seeds: [first.address],
     sharedKey: 'another shared key',
   });
-  const insider = await startNode(context, 'node-3', { seeds: [first.address] });
-  await waitFor(insider, () => insider.membership.members().length === 2);
-  assert.equal(stranger.membership.members().length, 1);
+  const nodeWithSameKey = await startNode(context, 'node-3', { seeds: [first.address] });
+  await waitFor(nodeWithSameKey, () => nodeWithSameKey.membership.members().length === 2);
+  assert.equal(nodeWithOtherKey.membership.members().length, 1);
   assert.equal(first.membership.find('node-2'), undefined);
 });
 
