--- a/src/kernel/boot-time.test.ts
+++ b/src/kernel/boot-time.test.ts
@@ -2,37 +2,37 @@
 import { beforeEach, test } from 'node:test';
 import { BootTime } from './boot-time.js';
 
-let steady: number;
+let monotonic: number;
 let wall: number;
 let time: BootTime;
 
 beforeEach(() => {
-  [steady, wall] = [100, 5_000_000];
+  [monotonic, wall] = [100, 5_000_000];
   time = new BootTime(
-    () => steady,
+    () => monotonic,
     () => wall,
   );
   time.now();
 });
 
-function pass(steadyMs: number, wallMs: number): void {
-  steady += steadyMs;
+function pass(monotonicMs: number, wallMs: number): void {
+  monotonic += monotonicMs;
   wall += wallMs;
 }
 
-test('it goes on as both clocks do', () => {
+test('boot time advances with both clocks', () => {
   pass(1_000, 1_000);
   assert.equal(time.now(), 1_100);
 });
 
-test('a suspension counts once', () => {
+test('a suspension is counted once', () => {
   pass(10, 8_010);
   assert.equal(time.now(), 8_110);
   pass(10, 10);
   assert.equal(time.now(), 8_120);
 });
 
-test('readings that are not made together add up to nothing', () => {
+test('small differences between the two readings do not add up', () => {
   for (let count = 0; count < 1_000; count += 1) {
     pass(1, 1 + (count % 2 === 0 ? 3 : -3));
     time.now();
@@ -40,7 +40,7 @@
   assert.equal(time.now(), 1_100);
 });
 
-test('a time of day that jumps back turns nothing back and hides no later suspension', () => {
+test('a backward jump of the wall clock is ignored and hides no later suspension', () => {
   pass(10, -60_000);
   assert.equal(time.now(), 110);
   pass(10, 3_010);
--- a/src/kernel/boot-time.ts
+++ b/src/kernel/boot-time.ts
@@ -1,35 +1,37 @@
 /**
- * Monotonic time that goes on while the machine is suspended, as CLOCK_BOOTTIME does, which Node.js does not
- * give. The monotonic clock stands still then and the time of day does not, so a time of day that has run
- * ahead is taken for a suspension. A jump of it forward makes the past look longer ago, never shorter; one
- * backward is passed over, and hides a suspension only when both come together.
+ * Monotonic time that includes suspensions of the machine, like CLOCK_BOOTTIME, which Node.js does
+ * not provide. During a suspension the monotonic clock stops and the wall clock does not, so a gain
+ * of the wall clock is taken for a suspension. A forward jump of the wall clock makes elapsed times
+ * look longer, never shorter. A backward jump is ignored; it hides a suspension only when both come
+ * together.
  */
 
-/** Difference of the clocks that is not a suspension, in milliseconds: their readings are not made together. */
-const TOLERANCE_MS = 50;
+/** Smaller differences are no suspension: the two clocks are not read at the same instant. */
+const SUSPENSION_TOLERANCE_MS = 50;
 
-/** See the module comment; times in milliseconds. */
+/** Estimates boot time from the monotonic clock and the wall clock; all times in milliseconds. */
 export class BootTime {
   private suspendedMs = 0;
-  /** By how much the time of day was ahead of the monotonic clock. */
-  private aheadMs: number | undefined;
+  /** Lead of the wall clock over the monotonic clock, as last accepted. */
+  private wallAheadMs: number | undefined;
 
   /**
-   * @param steady reads the monotonic clock
-   * @param wall reads the time of day
+   * @param readMonotonic reads the monotonic clock
+   * @param readWall reads the wall clock
    */
   constructor(
-    private readonly steady: () => number,
-    private readonly wall: () => number,
+    private readonly readMonotonic: () => number,
+    private readonly readWall: () => number,
   ) {}
 
-  /** The present; its zero point is arbitrary. */
+  /** Current boot time; the zero point is arbitrary. */
   now(): number {
-    const steady = this.steady();
-    const aheadMs = this.wall() - steady;
-    const sinceMs = aheadMs - (this.aheadMs ?? aheadMs);
-    if (sinceMs > TOLERANCE_MS) this.suspendedMs += sinceMs;
-    if (this.aheadMs === undefined || Math.abs(sinceMs) > TOLERANCE_MS) this.aheadMs = aheadMs;
-    return steady + this.suspendedMs;
+    const monotonicMs = this.readMonotonic();
+    const aheadMs = this.readWall() - monotonicMs;
+    const gainMs = aheadMs - (this.wallAheadMs ?? aheadMs);
+    if (gainMs > SUSPENSION_TOLERANCE_MS) this.suspendedMs += gainMs;
+    if (this.wallAheadMs === undefined || Math.abs(gainMs) > SUSPENSION_TOLERANCE_MS)
+      this.wallAheadMs = aheadMs;
+    return monotonicMs + this.suspendedMs;
   }
 }
--- a/src/kernel/bounded-event-log.test.ts
+++ b/src/kernel/bounded-event-log.test.ts
@@ -28,7 +28,7 @@
   ]);
 });
 
-test('errors always pass', () => {
+test('errors are always written', () => {
   const { lines, log } = create();
   for (let count = 0; count < 5; count += 1) log.emit(Event.InternalError);
   assert.equal(lines.length, 5);
--- a/src/kernel/bounded-event-log.ts
+++ b/src/kernel/bounded-event-log.ts
@@ -1,13 +1,13 @@
-/**
- * An event log that writes a bounded number of lines a second. What is over the bound is counted
- * by event, and the counts are written as one line when the second is over. Errors always pass.
- */
 import type { Clock } from './clock.js';
 import { Event, EVENTS, type EventFields, type EventLog } from './event.js';
 
 const PERIOD_MS = 1_000;
 
-/** See the module comment. */
+/**
+ * An event log that writes a bounded number of lines a second. Lines over the bound are counted by
+ * event, and the counts are written as one line with the first line of a later second. Errors are
+ * always written; lines of level debug are neither bounded nor counted.
+ */
 export class BoundedEventLog implements EventLog {
   private written = 0;
   private leftOut = new Map<Event, number>();
@@ -39,7 +39,7 @@
     this.log.emit(event, fields);
   }
 
-  /** Writes the counts of the last period when it is over; otherwise does nothing. */
+  /** When the last period is over, starts a new one and writes the counts of the last. */
   private startPeriod(): void {
     const now = this.clock.now();
     if (now < this.periodEndsAt) return;
--- a/src/kernel/clock.test.ts
+++ b/src/kernel/clock.test.ts
@@ -2,18 +2,23 @@
 import { test } from 'node:test';
 import { ManualClock } from './clock.js';
 
-/** Schedules a timer that notes its name and the time at which it fired. */
-function note(clock: ManualClock, fired: string[], name: string, delayMs: number): () => void {
+/** Schedules a timer that records its name and the time at which it fired. */
+function scheduleRecording(
+  clock: ManualClock,
+  fired: string[],
+  name: string,
+  delayMs: number,
+): () => void {
   return clock.schedule(delayMs, () => fired.push(`${name}@${clock.now()}`));
 }
 
 test('timers fire in order of time, then of creation, each at its own time', () => {
   const clock = new ManualClock();
   const fired: string[] = [];
-  note(clock, fired, 'late', 30);
-  note(clock, fired, 'first', 10);
-  note(clock, fired, 'second', 10);
-  note(clock, fired, 'now', 0);
+  scheduleRecording(clock, fired, 'late', 30);
+  scheduleRecording(clock, fired, 'first', 10);
+  scheduleRecording(clock, fired, 'second', 10);
+  scheduleRecording(clock, fired, 'now', 0);
   clock.advance(20);
   assert.deepEqual(fired, ['now@0', 'first@10', 'second@10']);
   assert.equal(clock.now(), 20);
@@ -21,22 +26,22 @@
   assert.deepEqual(fired.at(-1), 'late@30');
 });
 
-test('a timer made by a timer fires in the same advance when it falls due', () => {
+test('a timer that a timer schedules fires in the same advance when it expires in it', () => {
   const clock = new ManualClock();
   const fired: string[] = [];
   clock.schedule(5, () => {
-    note(clock, fired, 'inner', 5);
-    note(clock, fired, 'outside', 6);
+    scheduleRecording(clock, fired, 'inner', 5);
+    scheduleRecording(clock, fired, 'outside', 6);
   });
   clock.advance(10);
   assert.deepEqual(fired, ['inner@10']);
 });
 
-test('a cancelled timer does not fire; cancelling twice or late is harmless', () => {
+test('a cancelled timer does not fire; cancelling twice or late does nothing', () => {
   const clock = new ManualClock();
   const fired: string[] = [];
-  const cancel = note(clock, fired, 'cancelled', 5);
-  const late = note(clock, fired, 'fired', 5);
+  const cancel = scheduleRecording(clock, fired, 'cancelled', 5);
+  const late = scheduleRecording(clock, fired, 'fired', 5);
   cancel();
   cancel();
   clock.advance(5);
@@ -44,11 +49,11 @@
   assert.deepEqual(fired, ['fired@5']);
 });
 
-test('a negative delay counts as none', () => {
+test('a negative delay counts as 0', () => {
   const clock = new ManualClock();
   const fired: string[] = [];
   clock.advance(7);
-  note(clock, fired, 'past', -3);
+  scheduleRecording(clock, fired, 'past', -3);
   clock.advance(0);
   assert.deepEqual(fired, ['past@7']);
 });
--- a/src/kernel/clock.ts
+++ b/src/kernel/clock.ts
@@ -1,7 +1,7 @@
-/** Time as the tasks see it; tests and the emulator bring their own. */
+/** Clocks: the system's, and one that tests and the emulator advance by hand. */
 import { BootTime } from './boot-time.js';
 
-/** Cancels a pending timer; harmless when it has fired. */
+/** Cancels a pending timer; does nothing when it has fired. */
 export type CancelTimer = () => void;
 
 /** Source of time and timers. */
@@ -10,7 +10,7 @@
   now(): number;
   /** Milliseconds since the Unix epoch; for time stamps only, never for ordering. */
   wallNow(): number;
-  /** Monotonic milliseconds that also count the time for which the machine was suspended. */
+  /** Monotonic milliseconds that include the time for which the machine was suspended. */
   bootNow(): number;
   /** Calls `callback` once after `delayMs`. */
   schedule(delayMs: number, callback: () => void): CancelTimer;
@@ -21,7 +21,6 @@
   () => Date.now(),
 );
 
-/** The machine's clock. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wallNow: () => Date.now(),
@@ -40,7 +39,7 @@
   readonly callback: () => void;
 }
 
-/** A clock that moves only when told to; timers fire in order of time, then of creation. */
+/** A clock that its caller moves; timers fire in order of time, then of creation. */
 export class ManualClock implements Clock {
   private current = 0;
   private suspendedMs = 0;
@@ -59,7 +58,7 @@
     return this.current + this.suspendedMs;
   }
 
-  /** The machine was suspended for a time; no timer has moved on. */
+  /** Simulates a suspension of the machine, during which timers make no progress. */
   suspend(milliseconds: number): void {
     this.suspendedMs += milliseconds;
   }
@@ -74,10 +73,10 @@
     };
   }
 
-  /** Moves time forward and fires every timer that falls due, in order. */
+  /** Moves time forward and fires every timer that expires, in order. */
   advance(milliseconds: number): void {
     const end = this.current + milliseconds;
-    for (let next = this.earliest(end); next !== undefined; next = this.earliest(end)) {
+    for (let next = this.findEarliest(end); next !== undefined; next = this.findEarliest(end)) {
       this.pending.delete(next);
       this.current = next.at;
       next.callback();
@@ -85,7 +84,7 @@
     this.current = end;
   }
 
-  private earliest(end: number): PendingTimer | undefined {
+  private findEarliest(end: number): PendingTimer | undefined {
     let found: PendingTimer | undefined;
     for (const timer of this.pending) {
       if (timer.at > end) continue;
--- a/src/kernel/event-loop-delay.test.ts
+++ b/src/kernel/event-loop-delay.test.ts
@@ -3,7 +3,7 @@
 import { ManualClock, type CancelTimer, type Clock } from './clock.js';
 import { EventLoopDelay } from './event-loop-delay.js';
 
-/** A clock whose timers fire late while the loop is held up. */
+/** A clock whose timers fire `lateMs` late, as when the event loop is blocked. */
 class LateClock extends ManualClock implements Clock {
   lateMs = 0;
 
@@ -12,7 +12,7 @@
   }
 }
 
-test('the longest delay is told for one to two seconds', () => {
+test('the longest delay is reported for one to two seconds', () => {
   const clock = new LateClock();
   const delay = new EventLoopDelay(clock);
   delay.start();
--- a/src/kernel/event-loop-delay.ts
+++ b/src/kernel/event-loop-delay.ts
@@ -1,39 +1,36 @@
-/** How late this process runs its callbacks, so that its own delays are not taken for a target's. */
+/** Measures event loop delay, so that this process's own delays are not attributed to targets. */
 import type { CancelTimer, Clock } from './clock.js';
 
-/** Interval of the timer whose lateness is measured, in milliseconds. */
+/** Interval of the timer whose lateness is measured. */
 const SAMPLE_INTERVAL_MS = 50;
-/** Length of one of the two windows over which the longest delay is kept, in milliseconds. */
+/** Length of each of the two windows whose longest delays are kept. */
 const WINDOW_MS = 1_000;
 
-/** Samples the delay of the event loop. */
 export class EventLoopDelay {
   private dueAt = Infinity;
   private windowStart = 0;
   private longestMs = 0;
-  private longestBeforeMs = 0;
+  private previousLongestMs = 0;
   private cancelTimer: CancelTimer = () => {};
 
   constructor(private readonly clock: Clock) {}
 
-  /** Begins to sample. */
   start(): void {
     this.windowStart = this.clock.now();
     this.schedule();
   }
 
-  /** Ends sampling. */
   stop(): void {
     this.cancelTimer();
     this.dueAt = Infinity;
   }
 
-  /** Longest delay of the last one to two seconds, in milliseconds. */
+  /** Longest delay of the last one to two seconds, the overdue sample included. */
   recentMs(): number {
-    return Math.max(this.longestMs, this.longestBeforeMs, this.currentMs());
+    return Math.max(this.longestMs, this.previousLongestMs, this.currentMs());
   }
 
-  /** Time by which the sample that is due now is late, in milliseconds. */
+  /** Time for which the next sample is overdue; 0 before it is due. */
   private currentMs(): number {
     return Math.max(0, this.clock.now() - this.dueAt);
   }
@@ -48,7 +45,7 @@
   private sample(): void {
     const now = this.clock.now();
     if (now - this.windowStart >= WINDOW_MS) {
-      this.longestBeforeMs = this.longestMs;
+      this.previousLongestMs = this.longestMs;
       this.longestMs = 0;
       this.windowStart = now;
     }
--- a/src/kernel/event.test.ts
+++ b/src/kernel/event.test.ts
@@ -6,7 +6,7 @@
 import { mock, test } from 'node:test';
 import { DelayedFlush, Event, EVENTS } from './event.js';
 
-test('every event has its row in docs/EVENTS.md and no other row stands there', () => {
+test('docs/EVENTS.md has one row for each event and no other rows', () => {
   const page = readFileSync('docs/EVENTS.md', 'utf8');
   const rows = page.split('\n').filter((line) => /^\| \d+ \|/.test(line));
   const expected = Object.entries(EVENTS).map(
@@ -15,7 +15,7 @@
   assert.deepEqual(rows, expected);
 });
 
-/** Starts a process that runs these steps with a log on its standard output. */
+/** Starts a process that runs the script `steps` with an event log on its standard output. */
 function startLogger(steps: string): ChildProcessWithoutNullStreams {
   const module = new URL('./event.js', import.meta.url).href;
   const script = `
@@ -25,7 +25,7 @@
   return spawn(process.execPath, ['--input-type=module', '-e', script]);
 }
 
-test('lines that were gathered are written when the process ends', async () => {
+test('buffered lines are written when the process exits', async () => {
   const child = startLogger('log.emit(Event.NodeStarted); log.emit(Event.NodeStopped);');
   const lines = (await text(child.stdout)).trim().split('\n');
   assert.deepEqual(
@@ -54,12 +54,12 @@
   assert.equal(written + leftOut, 20_000);
 });
 
-test('a line behind a long write is written when the write has ended, not with the next line', async () => {
+test('a line logged during a long write is written after it, not with the next line', async () => {
   const child = startLogger(`
     log.emit(Event.NodeStarted, { detail: 'x'.repeat(300_000) });
     setTimeout(() => log.emit(Event.NodeStopped), 300);
     setTimeout(() => process.exit(), 8_000);`);
-  // Nobody reads while the first line is being written and the second is gathered and flushed.
+  // Nobody reads while the first line is being written and the second is buffered and flushed.
   await new Promise((resolve) => setTimeout(resolve, 1_500));
   let received = '';
   child.stdout.on('data', (chunk: Buffer) => {
@@ -74,7 +74,7 @@
   assert.ok(received.includes('"event":102') && wasRunning);
 });
 
-test('a flush comes a quarter of a second after the first request; nothing runs at rest', () => {
+test('a flush runs 250 ms after the first request, and no timer runs without a request', () => {
   mock.timers.enable({ apis: ['setTimeout'] });
   try {
     let flushes = 0;
--- a/src/kernel/event.ts
+++ b/src/kernel/event.ts
@@ -1,5 +1,5 @@
 /**
- * Numbered log events. docs/EVENTS.md holds the same catalogue; a test fails when the
+ * Numbered log events. docs/EVENTS.md lists the same events; a test fails when the
  * two differ. Numbers are never reused.
  */
 import pino, { type DestinationStream } from 'pino';
@@ -128,29 +128,29 @@
   [Event.OperatorRejected]: ['warn', 'operator request rejected'],
 };
 
-/** Values that may stand beside an event. */
+/** Values that are logged with an event. */
 export type EventFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
 /** Writes numbered events. */
 export interface EventLog {
   emit(event: Event, fields?: EventFields): void;
-  /** Whether a line is written for the event; absent: for all. Spares gathering its fields. */
+  /** Whether a line is written for the event; absent: always. Lets callers skip its fields. */
   writes?(event: Event): boolean;
 }
 
-/** File descriptors that lines can go to. */
+/** File descriptors that log lines can be written to. */
 export enum LogStream {
   Output = 1,
   Error = 2,
 }
 
-/** Lines are gathered up to this many bytes, or for this long, so that few writes are made. */
-const GATHER_BYTES = 8 * 1024;
-const GATHER_MS = 250;
-/** Bytes held for a reader that does not read; lines beyond are left out and counted. */
-const MAX_HELD_BYTES = 1024 * 1024;
+/** Lines are buffered up to this many bytes or for this long, which saves writes. */
+const FLUSH_BYTES = 8 * 1024;
+const FLUSH_DELAY_MS = 250;
+/** Bytes buffered while nobody reads the log; further lines are left out and counted. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 
-/** Writes events as pino JSON lines, to standard error unless told otherwise; never blocks. */
+/** Writes events as pino JSON lines, by default to standard error; never blocks. */
 export function createPinoEventLog(
   level: string,
   bindings: EventFields = {},
@@ -159,14 +159,14 @@
   const destination = pino.destination({
     fd: stream,
     sync: false,
-    minLength: GATHER_BYTES,
-    maxLength: MAX_HELD_BYTES,
+    minLength: FLUSH_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
   });
   const delayed = new DelayedFlush(() => {
     destination.flush();
   });
-  // A flush during a write does nothing, so that lines gathered meanwhile are due when it ends. A flush
-  // of nothing writes no bytes and asks for no other.
+  // A flush during a write does nothing, so another one is requested after the write, for lines
+  // buffered meanwhile. A flush of an empty buffer writes no bytes and requests no further one.
   destination.on('write', (bytes: number) => {
     if (bytes > 0) delayed.request();
   });
@@ -190,20 +190,20 @@
   return log;
 }
 
-/** Flushes gathered lines some time after it is asked to, so that an idle process is not woken. */
+/** Flushes buffered lines a fixed time after a request, so that no timer wakes an idle process. */
 export class DelayedFlush {
   private scheduled = false;
 
   constructor(private readonly flush: () => void) {}
 
-  /** Asks for a flush; harmless when one is due. */
+  /** Schedules a flush; does nothing when one is already scheduled. */
   request(): void {
     if (this.scheduled) return;
     this.scheduled = true;
     setTimeout(() => {
       this.scheduled = false;
       this.flush();
-    }, GATHER_MS).unref();
+    }, FLUSH_DELAY_MS).unref();
   }
 }
 
--- a/src/kernel/kernel-control.ts
+++ b/src/kernel/kernel-control.ts
@@ -1,9 +1,7 @@
-/** What plug-ins see of the kernel that runs them. */
-
-/** See the module comment. */
+/** The part of the kernel that its plug-ins may use. */
 export interface KernelControl {
-  /** Whether a planned stop was asked for or has begun. */
+  /** Whether a planned stop was requested or has begun. */
   readonly draining: boolean;
-  /** Asks whoever runs the node for a planned stop. */
+  /** Requests a planned stop, which `runKernel` then performs. */
   requestStop(): void;
 }
--- a/src/kernel/kernel.test.ts
+++ b/src/kernel/kernel.test.ts
@@ -3,7 +3,7 @@
 import { validateSettings, type Settings } from '../config/settings.js';
 import { ManualClock } from './clock.js';
 import { Event, type EventFields, type EventLog } from './event.js';
-import { Kernel, LATE_DRAIN_MS } from './kernel.js';
+import { Kernel, MIN_DRAIN_MS } from './kernel.js';
 import type { Plugin } from './plugin.js';
 import { Token } from './token.js';
 
@@ -19,7 +19,7 @@
 
 type Step = 'start' | 'drain' | 'stop';
 
-/** Records each step of its plug-ins' lives; steps named in `failing` reject. */
+/** Records each life-cycle step of its plug-ins; steps named in `failing` reject. */
 class Recorder implements EventLog {
   readonly steps: string[] = [];
   readonly events: (readonly [Event, EventFields])[] = [];
@@ -78,7 +78,7 @@
   assert.ok(kernel.container.get(Token.Clock) instanceof ManualClock);
 });
 
-test('a failed start stops what was started, in reverse order, and rejects', async () => {
+test('a failed start stops the plug-ins so far, in reverse order, and rejects', async () => {
   const recorder = new Recorder(['start b']);
   const kernel = recorder.kernel();
   await assert.rejects(kernel.start(), /start b/);
@@ -88,7 +88,7 @@
 
 const DRAINED_AND_STOPPED = ['drain c', 'drain b', 'drain a', 'stop c', 'stop b', 'stop a'];
 const planned = [
-  { name: 'all well', failing: [], errors: [] },
+  { name: 'nothing fails', failing: [], errors: [] },
   { name: 'a drain fails', failing: ['drain b'], errors: ['b'] },
   { name: 'a stop fails', failing: ['stop c'], errors: ['c'] },
   {
@@ -109,7 +109,7 @@
   });
 }
 
-test('a drain that does not end is left at the time limit; later ones get a short time', async () => {
+test('a drain is abandoned at the time limit; later ones still get a short time', async () => {
   const recorder = new Recorder();
   const clock = new ManualClock();
   const ends = new Map<string, () => void>();
@@ -125,18 +125,18 @@
   await kernel.start();
   const complete = kernel.drainAndStop(100);
   const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
-  clock.advance(100 + LATE_DRAIN_MS);
+  clock.advance(100 + MIN_DRAIN_MS);
   await settle();
   assert.deepEqual(recorder.steps.slice(-2), ['drain c', 'drain b']);
   ends.get('b')?.();
   await settle();
-  clock.advance(LATE_DRAIN_MS);
+  clock.advance(MIN_DRAIN_MS);
   assert.equal(await complete, false);
   assert.deepEqual(recorder.steps, [...STARTED, ...DRAINED_AND_STOPPED]);
   assert.deepEqual(recorder.internalErrors(), ['c', 'a']);
 });
 
-test('a second stop stops no plug-in twice', async () => {
+test('a second stop does not stop plug-ins again', async () => {
   const recorder = new Recorder();
   const kernel = recorder.kernel();
   await kernel.start();
@@ -144,7 +144,7 @@
   assert.deepEqual(recorder.steps, [...STARTED, 'stop c', 'stop b', 'stop a']);
 });
 
-test('a stop asked for from inside the node is announced once and shows as draining', async () => {
+test('a stop that a plug-in requests twice resolves once and shows as draining', async () => {
   const kernel = new Recorder().kernel();
   assert.equal(kernel.draining, false);
   kernel.requestStop();
--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -1,4 +1,4 @@
-/** The kernel: one inversify container, the plug-ins' life cycle, nothing else. */
+/** The kernel: one inversify container and the life cycle of the plug-ins. */
 import 'reflect-metadata';
 import { Container } from 'inversify';
 import type { Settings } from '../config/settings.js';
@@ -9,22 +9,21 @@
 import { Token } from './token.js';
 import { TrafficMeter } from './traffic-meter.js';
 
-/** Time for a drain that begins when the time of the planned stop is over, in milliseconds. */
-export const LATE_DRAIN_MS = 1_000;
+/** Minimum time for each drain, also when the time limit of the planned stop is over. */
+export const MIN_DRAIN_MS = 1_000;
 
-/** What a kernel is made from. */
 export interface KernelOptions {
-  /** Bound to its token when given; programs with other settings bind their own. */
+  /** Bound to `Token.Settings` when given; programs with other settings bind their own. */
   readonly settings?: Settings;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly plugins: readonly Plugin[];
 }
 
-/** Runs the plug-ins of one node. */
+/** Runs the plug-ins of one node or sidecar. */
 export class Kernel implements KernelControl {
   readonly container = new Container({ defaultScope: 'Singleton' });
-  /** Resolves when a planned stop was asked for from inside the node. */
+  /** Resolves when a plug-in requests a planned stop. */
   readonly stopRequested: Promise<void>;
   private resolveStopRequested: () => void = () => {};
   private stopping = false;
@@ -46,18 +45,18 @@
     for (const plugin of options.plugins) plugin.bind(this.container);
   }
 
-  /** Whether a planned stop was asked for or has begun. */
+  /** Whether a planned stop was requested or has begun. */
   get draining(): boolean {
     return this.stopping;
   }
 
-  /** Asks whoever runs the node for a planned stop; see src/node/run-node.ts. */
+  /** Requests a planned stop; see src/kernel/run-kernel.ts. */
   requestStop(): void {
     this.stopping = true;
     this.resolveStopRequested();
   }
 
-  /** Starts every plug-in in order; on failure stops those already started and rejects. */
+  /** Starts all plug-ins in order; rejects when one fails, after stopping it and those before it. */
   async start(): Promise<void> {
     for (const plugin of this.options.plugins) {
       try {
@@ -72,10 +71,11 @@
   }
 
   /**
-   * Planned stop: drains in reverse start order, then stops. A failed drain keeps no other.
+   * Planned stop: drains in reverse start order, then stops. A failed drain does not prevent the
+   * others.
    *
-   * @param timeoutMs time for all drains together; when it is over, each drain that is left
-   * still gets {@link LATE_DRAIN_MS}, so that state is handed over and the others are told
+   * @param timeoutMs time limit of all drains together; after it each remaining drain still gets
+   * {@link MIN_DRAIN_MS}, so that state is transferred and the other nodes are notified
    * @returns whether every drain ended within its time
    */
   async drainAndStop(timeoutMs = Number.POSITIVE_INFINITY): Promise<boolean> {
@@ -85,44 +85,44 @@
     const end = clock.now() + timeoutMs;
     let complete = true;
     for (const plugin of [...this.started].reverse()) {
-      const drainEnd = Math.max(end, clock.now() + LATE_DRAIN_MS);
+      const drainEnd = Math.max(end, clock.now() + MIN_DRAIN_MS);
       if (!(await this.drainUntil(plugin, drainEnd))) complete = false;
     }
     await this.stop();
     return complete;
   }
 
-  /** Stops in reverse start order; a plug-in that fails to stop does not keep the others. */
+  /** Stops in reverse start order; a plug-in that fails to stop does not prevent the others. */
   async stop(): Promise<void> {
     const started = [...this.started].reverse();
     this.started = [];
     for (const plugin of started) {
-      await this.attempt(plugin, () => plugin.stop?.(this.container));
+      await this.runStep(plugin, () => plugin.stop?.(this.container));
     }
     this.log.emit(Event.NodeStopped);
   }
 
   private async drainUntil(plugin: Plugin, endAt: number): Promise<boolean> {
     const step = (): Promise<void> | undefined => plugin.drain?.(this.container, endAt);
-    const drained = this.attempt(plugin, step).then(() => true);
+    const drained = this.runStep(plugin, step).then(() => true);
     if (endAt === Number.POSITIVE_INFINITY) return await drained;
     const limitMs = endAt - this.options.clock.now();
     let cancel: CancelTimer = () => {};
-    const late = new Promise<boolean>((resolve) => {
+    const timedOut = new Promise<boolean>((resolve) => {
       cancel = this.options.clock.schedule(limitMs, () => {
         resolve(false);
       });
     });
-    const inTime = await Promise.race([drained, late]);
+    const inTime = await Promise.race([drained, timedOut]);
     cancel();
     if (!inTime) {
-      const error = `drain not ended within ${Math.ceil(limitMs)} ms`;
+      const error = `drain did not end within ${Math.ceil(limitMs)} ms`;
       this.log.emit(Event.InternalError, { plugin: plugin.name, error });
     }
     return inTime;
   }
 
-  private async attempt(plugin: Plugin, step: () => Promise<void> | undefined): Promise<void> {
+  private async runStep(plugin: Plugin, step: () => Promise<void> | undefined): Promise<void> {
     try {
       await step();
     } catch (error) {
--- a/src/kernel/metrics.ts
+++ b/src/kernel/metrics.ts
@@ -1,4 +1,4 @@
-/** Prometheus metrics of one node (prom-client); served as text on the admin address. */
+/** Prometheus metrics of one node (prom-client), served as text on the admin address. */
 import type { TrafficMeter } from './traffic-meter.js';
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from 'prom-client';
 
@@ -6,13 +6,13 @@
   0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5,
 ];
 
-/** Interval at which the event loop's delay is sampled; the library's default wakes an idle process. */
+/** Sampling interval of the event loop's delay; prom-client's default wakes an idle process. */
 const EVENT_LOOP_SAMPLE_MS = 100;
 
 const TRANSPORTS = ['tcp', 'udp'] as const;
 const DIRECTIONS = ['sent', 'received'] as const;
 
-/** The metrics that plug-ins write. */
+/** The metrics that plug-ins update. */
 export interface Metrics {
   readonly registry: Registry;
   /** Requests at the callers' entry, by service, kind and result code. */
@@ -35,7 +35,7 @@
   readonly claims: Counter<'result'>;
 }
 
-/** Creates the metrics in a registry of their own, so that nodes can share a process. */
+/** Creates the metrics in their own registry, so that several nodes can run in one process. */
 export function createMetrics(withDefaults = true): Metrics {
   const registry = new Registry();
   const registers = [registry];
--- a/src/kernel/pause.ts
+++ b/src/kernel/pause.ts
@@ -1,7 +1,6 @@
-/** Waiting on a clock. */
 import type { Clock } from './clock.js';
 
-/** Waits on the given clock. */
+/** Resolves after `delayMs` on the given clock. */
 export function pause(clock: Clock, delayMs: number): Promise<void> {
   return new Promise((resolve) => {
     clock.schedule(delayMs, resolve);
--- a/src/kernel/plugin.ts
+++ b/src/kernel/plugin.ts
@@ -14,16 +14,16 @@
   /** Opens sockets and starts tasks. Rejects when the node cannot run. */
   start?(container: Container): Promise<void>;
   /**
-   * Planned stop, first part: takes no new work, lets running work end.
+   * First part of a planned stop: accepts no new work and lets running work end.
    *
-   * @param endAt time of the monotonic clock at which the stop goes on without it, in milliseconds
+   * @param endAt monotonic time in milliseconds at which the stop continues without waiting further
    */
   drain?(container: Container, endAt: number): Promise<void>;
   /** Closes everything that `start` opened. */
   stop?(container: Container): Promise<void>;
 }
 
-/** Positions in the start sequence, with room between them. */
+/** Positions in the start sequence, with gaps for further plug-ins. */
 export enum StartOrder {
   Observability = 10,
   Peer = 20,
@@ -36,12 +36,12 @@
   Admin = 90,
 }
 
-/** Programs that are made of plug-ins. */
+/** Programs that are composed of plug-ins. */
 export type Program = 'node' | 'sidecar';
 
 const registered = new Map<string, Plugin>();
 
-/** Registers a plug-in of a program; a second registration of a name is a defect. */
+/** Registers a plug-in of a program; throws when its name is already registered. */
 export function registerPlugin(plugin: Plugin, program: Program = 'node'): void {
   const key = `${program}/${plugin.name}`;
   if (registered.has(key)) throw new Error(`plug-in ${key} is registered twice`);
--- a/src/kernel/run-kernel.ts
+++ b/src/kernel/run-kernel.ts
@@ -7,35 +7,35 @@
 const STOP_SIGNALS = ['SIGTERM', 'SIGINT'] as const;
 type StopSignal = (typeof STOP_SIGNALS)[number];
 
-/** Where signals come from: the process, or a test's own source. */
+/** Source of signals: the process, or an emitter of a test. */
 export interface SignalSource {
   on(signal: string, listener: () => void): unknown;
   off(signal: string, listener: () => void): unknown;
 }
 
-/** How a run ended. */
-export type NodeEnd = 'stopped' | 'start-failed' | 'cut-short';
+/** How a run ended; `cut-short` is a planned stop that did not complete. */
+export type RunOutcome = 'stopped' | 'start-failed' | 'cut-short';
 
 /**
- * Starts a kernel and waits for its end. The first SIGTERM or SIGINT, or a stop that the kernel was
- * asked for, starts a planned stop. Whatever the first was, SIGTERM changes nothing after it:
- * supervisors repeat it, and requests are still under way. SIGINT, which a person at a terminal
- * sends, stops at once then.
+ * Starts a kernel and waits until it has stopped. The first SIGTERM or SIGINT, or a stop requested
+ * of the kernel, starts a planned stop. A SIGTERM during the stop is ignored, because supervisors
+ * send it repeatedly while requests are still in progress. A SIGINT during the stop, which a person
+ * at a terminal sends, stops the kernel at once.
  *
- * @param stopTimeoutMs bound of a planned stop from its signal on, in milliseconds; asked for when
- * the stop begins
+ * @param stopTimeoutMs returns the time limit of a planned stop, counted from its signal, in
+ * milliseconds; called when the stop begins
  */
 export async function runKernel(
   kernel: Kernel,
   stopTimeoutMs: () => number,
   signals: SignalSource = process,
-): Promise<NodeEnd> {
+): Promise<RunOutcome> {
   const log = kernel.container.get(Token.EventLog);
   const stops = new StopSignals(signals, kernel.container.get(Token.Clock));
   try {
     await kernel.start();
     await Promise.race([stops.first, kernel.stopRequested]);
-    return await stopAsPlanned(kernel, stopTimeoutMs(), stops);
+    return await runPlannedStop(kernel, stopTimeoutMs(), stops);
   } catch (error) {
     log.emit(Event.InternalError, { error: String(error) });
     return 'start-failed';
@@ -44,31 +44,31 @@
   }
 }
 
-async function stopAsPlanned(
+async function runPlannedStop(
   kernel: Kernel,
   timeoutMs: number,
   stops: StopSignals,
-): Promise<NodeEnd> {
+): Promise<RunOutcome> {
   const log = kernel.container.get(Token.EventLog);
-  const interrupted = new Promise<NodeEnd>((resolve) => {
+  const interrupted = new Promise<RunOutcome>((resolve) => {
     stops.onRepeated = (signal) => {
-      const isUrgent = signal === 'SIGINT';
-      const effect = isUrgent ? 'planned stop cut short' : 'none';
+      const isInterrupt = signal === 'SIGINT';
+      const effect = isInterrupt ? 'planned stop cut short' : 'none';
       log.emit(Event.StopSignalRepeated, { signal, effect });
-      if (isUrgent) void kernel.stop().then(() => resolve('cut-short'));
+      if (isInterrupt) void kernel.stop().then(() => resolve('cut-short'));
     };
   });
   const planned = kernel
     .drainAndStop(timeoutMs - stops.sinceFirstMs)
-    .then((complete): NodeEnd => (complete ? 'stopped' : 'cut-short'));
+    .then((complete): RunOutcome => (complete ? 'stopped' : 'cut-short'));
   return await Promise.race([planned, interrupted]);
 }
 
-/** Stop signals from the start of the run on, so that one that came during the start counts. */
+/** Listens for stop signals from the start of the run on, so that none is lost during the start. */
 class StopSignals {
-  /** Settles at the first signal. */
+  /** Resolves at the first signal. */
   readonly first: Promise<void>;
-  /** Told of each signal that comes while the node stops. */
+  /** Called at each signal that arrives during the planned stop. */
   onRepeated: ((signal: StopSignal) => void) | undefined;
   private firstAt: number | undefined;
   private readonly listeners: ReadonlyMap<StopSignal, () => void>;
@@ -91,7 +91,7 @@
     for (const [signal, listener] of this.listeners) source.on(signal, listener);
   }
 
-  /** Time since the first signal, which may have come during the start; 0 without one. */
+  /** Time since the first signal, which may have arrived during the start; 0 without one. */
   get sinceFirstMs(): number {
     return this.firstAt === undefined ? 0 : this.clock.now() - this.firstAt;
   }
--- a/src/kernel/task.test.ts
+++ b/src/kernel/task.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { Task } from './task.js';
 
-/** Notes each message; `react` runs while the message is handled. */
+/** Records each message; `react` runs while the message is handled. */
 class RecordingTask extends Task<string> {
   readonly handled: string[] = [];
   react: (message: string) => void = () => {};
@@ -20,7 +20,7 @@
   assert.deepEqual(task.handled, ['begin a', 'end a']);
 });
 
-test('a message posted during a message waits for its end', () => {
+test('a message posted while another is handled waits until that one is done', () => {
   const task = new RecordingTask('test', 2);
   task.react = (message) => {
     if (message !== 'a') return;
@@ -33,7 +33,7 @@
   assert.equal(task.backlog, 0);
 });
 
-test('a full mailbox refuses and keeps what waits', () => {
+test('a full mailbox refuses further messages and keeps the waiting ones', () => {
   const task = new RecordingTask('test', 2);
   const posted: boolean[] = [];
   task.react = (message) => {
@@ -47,7 +47,7 @@
   );
 });
 
-test('a closed task drops what waits and refuses what comes', () => {
+test('a closed task drops waiting messages and refuses later ones', () => {
   const task = new RecordingTask('test', 2);
   task.react = () => {
     task.post('dropped');
@@ -58,7 +58,7 @@
   assert.deepEqual(task.handled, ['begin a', 'end a']);
 });
 
-test('a task goes on after a message whose handling threw', () => {
+test('a task continues after the handler of a message threw', () => {
   const task = new RecordingTask('test', 2);
   task.react = (message) => {
     if (message === 'bad') throw new Error('defect');
--- a/src/kernel/task.ts
+++ b/src/kernel/task.ts
@@ -1,10 +1,8 @@
 /**
- * Tasks own their sockets and their state and talk by messages. A task handles one
- * message at a time from a mailbox with a bound; a message posted from outside is
- * handled at once when the task is idle, so that a hop between tasks costs a call.
+ * A unit of concurrency with a bounded mailbox. Tasks own their sockets and state and communicate
+ * by messages. A task handles one message at a time; when it is idle, a posted message is handled
+ * before `post` returns, so that a message between tasks costs no more than a call.
  */
-
-/** A unit of concurrency with a bounded mailbox. */
 export abstract class Task<Message> {
   private readonly mailbox: Message[] = [];
   private draining = false;
@@ -12,14 +10,14 @@
 
   /**
    * @param name for logs and metrics
-   * @param capacity messages that may wait; a full mailbox refuses
+   * @param capacity messages that may wait; a full mailbox refuses further ones
    */
   constructor(
     readonly name: string,
     private readonly capacity: number,
   ) {}
 
-  /** Messages that wait now. */
+  /** Number of waiting messages. */
   get backlog(): number {
     return this.mailbox.length;
   }
@@ -28,7 +26,7 @@
    * Posts a message.
    *
    * @returns false when the mailbox is full or the task has stopped; the caller then
-   * answers with `ResultCode.MailboxFull`
+   * fails its request with `ResultCode.MailboxFull`
    */
   post(message: Message): boolean {
     if (this.stopped || this.mailbox.length >= this.capacity) return false;
@@ -37,13 +35,13 @@
     return true;
   }
 
-  /** Stops the task: waiting messages are dropped, later ones refused. */
+  /** Stops the task: drops waiting messages and refuses later ones. */
   close(): void {
     this.stopped = true;
     this.mailbox.length = 0;
   }
 
-  /** Handles one message to its end; must not throw for bad input. */
+  /** Handles one message completely; must not throw for invalid input. */
   protected abstract handle(message: Message): void;
 
   private drainMailbox(): void {
--- a/src/kernel/token.ts
+++ b/src/kernel/token.ts
@@ -1,4 +1,4 @@
-/** Typed identifiers under which plug-ins find each other's services in the container. */
+/** Typed identifiers by which plug-ins look up each other's services in the container. */
 import type { ServiceIdentifier } from 'inversify';
 import type { ClaimService } from '../claims/claim-service.js';
 import type { ByteBudget } from '../core/byte-budget.js';
@@ -19,12 +19,12 @@
 import type { Metrics } from './metrics.js';
 import type { TrafficMeter } from './traffic-meter.js';
 
-/** Makes a typed identifier; plug-ins make their own for services that only they use. */
+/** Creates a typed identifier; plug-ins create their own for services that only they use. */
 export function createToken<T>(name: string): ServiceIdentifier<T> {
   return Symbol.for(`sillshore.${name}`);
 }
 
-/** One token a service. */
+/** The token of each service that plug-ins share. */
 export const Token = {
   Settings: createToken<Settings>('Settings'),
   Clock: createToken<Clock>('Clock'),
--- a/src/node/plugins.ts
+++ b/src/node/plugins.ts
@@ -1,4 +1,4 @@
-/** The parts of a node: importing a plug-in's or policy's module registers it. */
+/** Registers the plug-ins and policies of a node; importing a module registers what it defines. */
 import '../core/overload-policies.js';
 import '../observability/observability-plugin.js';
 import '../peer/peer-plugin.js';
--- a/src/node/run-node.test.ts
+++ b/src/node/run-node.test.ts
@@ -7,17 +7,17 @@
 import type { KernelControl } from '../kernel/kernel-control.js';
 import type { Plugin } from '../kernel/plugin.js';
 import { Token } from '../kernel/token.js';
-import type { NodeEnd } from '../kernel/run-kernel.js';
+import type { RunOutcome } from '../kernel/run-kernel.js';
 import { runNode } from './run-node.js';
 
-/** A node with one plug-in whose drain ends when the test says so. */
+/** A node with one plug-in whose drain ends when the test calls `endDrain`. */
 class Run {
   readonly clock = new ManualClock();
   readonly signals = new EventEmitter();
   readonly steps: string[] = [];
   endDrain: () => void = () => {};
   kernel: KernelControl | undefined;
-  readonly end: Promise<NodeEnd>;
+  readonly end: Promise<RunOutcome>;
 
   constructor(startFails = false, signalDuringStart = false, startMs = 0) {
     const plugin: Plugin = {
@@ -47,7 +47,7 @@
     this.end = runNode(createTestSettings(), options, this.signals);
   }
 
-  /** Lets everything that is due run. */
+  /** Waits until pending callbacks have run. */
   async settle(): Promise<void> {
     await new Promise((resolve) => setImmediate(resolve));
   }
@@ -67,7 +67,7 @@
   });
 }
 
-test("an operator's drain command starts a planned stop, and an interrupt cuts it short", async () => {
+test("an operator's drain command starts a planned stop, and SIGINT cuts it short", async () => {
   const run = new Run();
   await run.settle();
   run.kernel?.requestStop();
@@ -81,7 +81,7 @@
   assert.deepEqual(run.steps, ['start', 'drain', 'stop']);
 });
 
-test('an interrupt after a stop signal stops at once', async () => {
+test('SIGINT after a stop signal stops at once', async () => {
   const run = new Run();
   await run.settle();
   run.signals.emit('SIGTERM');
@@ -91,7 +91,7 @@
 });
 
 for (const first of ['SIGTERM', 'SIGINT']) {
-  test(`SIGTERM after ${first} changes nothing: neither the drain nor its time limit`, async () => {
+  test(`SIGTERM after ${first} changes neither the drain nor its time limit`, async () => {
     const run = new Run();
     await run.settle();
     run.signals.emit(first);
@@ -106,7 +106,7 @@
   });
 }
 
-test('the time limit of the settings ends a drain that does not end', async () => {
+test('a drain that does not end is cut short at stopTimeoutMs', async () => {
   const run = new Run();
   await run.settle();
   run.signals.emit('SIGTERM');
@@ -125,7 +125,7 @@
   assert.equal(await run.end, 'stopped');
 });
 
-test('the time of a stop counts from its signal, also when that came during the start', async () => {
+test('the time limit of a stop counts from its signal, also from one during the start', async () => {
   const run = new Run(false, true, 5_000);
   await run.settle();
   run.clock.advance(createTestSettings().stopTimeoutMs - 5_001);
--- a/src/node/start-node.test.ts
+++ b/src/node/start-node.test.ts
@@ -1,4 +1,4 @@
-/** Two whole nodes over loopback with the platform stand-in, driven by command lines. */
+/** Two complete nodes over loopback with the platform stand-in, operated by CLI commands. */
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -66,11 +66,11 @@
   return runCaptured(argv, env);
 }
 
-/** Asks for the status until it is as wanted. */
-async function statusUntil(wanted: (status: Status) => boolean): Promise<Status> {
+/** Polls the status until the condition holds. */
+async function pollStatusUntil(isReached: (status: Status) => boolean): Promise<Status> {
   for (;;) {
     const status = JSON.parse((await operate('status', '--json')).stdout) as Status;
-    if (wanted(status)) return status;
+    if (isReached(status)) return status;
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
 }
@@ -108,31 +108,31 @@
   'rules are applied, seen in force in each zone, targets and nodes drained',
   { timeout: TEST_TIMEOUT_MS },
   async () => {
-    await statusUntil(({ members }) => members.length === 2);
+    await pollStatusUntil(({ members }) => members.length === 2);
     const applied = await operate('config', 'apply', rules, '--expect', '0', '--wait-ms', WAIT_MS);
     assert.equal(applied.exitCode, ExitCode.Ok, applied.stderr);
-    await statusUntil(({ members }) => members.every(({ ready }) => ready));
+    await pollStatusUntil(({ members }) => members.every(({ ready }) => ready));
     const again = await operate('config', 'apply', rules, '--expect', '0');
     assert.equal(again.exitCode, ExitCode.Conflict);
     const inForce = await operate('config', 'in-force', '--tenant', 'roteiro-vivo');
     assert.match(inForce.stdout, /\nzone-a +1 +1 .*\nzone-b +1 +1 /);
-    const { targets } = await statusUntil(({ targets: placed }) => placed[1]?.node === 'b1');
+    const { targets } = await pollStatusUntil(({ targets: placed }) => placed[1]?.node === 'b1');
     assert.deepEqual(
       targets.map(({ node }) => node),
       ['a1', 'b1'],
     );
 
     assert.equal((await operate('drain', 'target', 'guide-2')).exitCode, ExitCode.Ok);
-    await statusUntil((status) => status.targets[1]?.state === 'leaving');
+    await pollStatusUntil((status) => status.targets[1]?.state === 'leaving');
     const resumed = await operate('drain', 'target', 'guide-2', '--resume');
     assert.equal(resumed.exitCode, ExitCode.Ok);
-    await statusUntil((status) => status.targets[1]?.state === 'serving');
+    await pollStatusUntil((status) => status.targets[1]?.state === 'serving');
 
     assert.equal((await operate('drain', 'node', 'b1')).exitCode, ExitCode.Ok);
     await nodes[1]!.stopRequested;
     assert.deepEqual([nodes[0]!.draining, nodes[1]!.draining], [false, true]);
     await nodes[1]!.drainAndStop();
-    const { node } = await statusUntil(({ members }) => members.length === 1);
+    const { node } = await pollStatusUntil(({ members }) => members.length === 1);
     assert.equal(node.ready, true);
   },
 );
--- a/src/node/start-node.ts
+++ b/src/node/start-node.ts
@@ -1,4 +1,4 @@
-/** Makes a node from its settings: a kernel with the registered plug-ins, started. */
+/** Creates a node from its settings: a kernel with the registered plug-ins. */
 import './plugins.js';
 import type { Settings } from '../config/settings.js';
 import { BoundedEventLog } from '../kernel/bounded-event-log.js';
@@ -7,17 +7,17 @@
 import { Kernel } from '../kernel/kernel.js';
 import { listPlugins, type Plugin } from '../kernel/plugin.js';
 
-/** Lines that a node writes a second, errors excepted; what is over is counted in one line. */
+/** Limit of log lines, errors excepted; lines over it are counted in one line. */
 const MAX_LINES_PER_SECOND = 200;
 
-/** What a caller may put in place of the defaults. */
+/** Replacements for the defaults, such as in tests. */
 export interface NodeOptions {
   readonly clock?: Clock;
   readonly log?: EventLog;
   readonly plugins?: readonly Plugin[];
 }
 
-/** Creates a node that has not started. */
+/** Creates a node without starting it. */
 export function createNode(settings: Settings, options: NodeOptions = {}): Kernel {
   const clock = options.clock ?? systemClock;
   return new Kernel({
--- a/src/node/version.ts
+++ b/src/node/version.ts
@@ -6,7 +6,7 @@
 const packageFile = new URL('../../../package.json', import.meta.url);
 const { version } = packageSchema.parse(JSON.parse(readFileSync(packageFile, 'utf8')));
 
-/** Version of the program, from package.json. */
+/** Returns the program's version from package.json. */
 export function readVersion(): string {
   return version;
 }
