--- a/src/logs/losses.test.ts
+++ b/src/logs/losses.test.ts
@@ -27,7 +27,7 @@
   );
 });
 
-test('calls below are told from requests of callers, and the service in the way is named', () => {
+test('calls of targets are distinguished from callers, and the overloaded service is named', () => {
   const fields = {
     kind: 'call',
     code: ResultCode.AdmissionRefused,
@@ -46,7 +46,7 @@
   );
 });
 
-test('the sum over the time adds up, largest first; other lines are passed over', () => {
+test('rows are summed over all seconds, largest first; lines of other events are ignored', () => {
   const lines = [
     end({ time: 10_000, fields: { kind: 'rare', code: ResultCode.QueueFull } }),
     end({ time: 12_000 }),
--- a/src/logs/losses.ts
+++ b/src/logs/losses.ts
@@ -1,9 +1,10 @@
 /**
- * Where requests of callers were lost, from the log lines of all nodes: by kind and second, refused
- * and failed requests by cause, and the calls below that were refused or failed and took the
- * requests above with them. Requests that were served are counted where the logs hold them (debug).
+ * Counts refused and failed requests by second, kind and cause, from the log lines of all nodes.
+ * Besides requests of callers these are calls that targets made for them; when such a call is lost,
+ * the request that it was made for is lost with it.
+ * Served requests are counted where the logs contain them (level debug).
  *
- * Times are those of each node's clock, so that seconds of different nodes may lie apart.
+ * Times are those of each node's clock, so that seconds of different nodes may be offset.
  */
 import { Event } from '../kernel/event.js';
 import { ResultCode } from '../core/result-code.js';
@@ -15,15 +16,15 @@
 /** How a request ended at its entry node. */
 export type Ending = 'served' | 'refused' | 'failed';
 
-/** Requests of one kind, in one second, that ended one way for one cause. */
+/** Number of requests of one kind that ended in the same second, in the same way, for one cause. */
 export interface LossRow {
   /** Whole seconds since the first line. */
   readonly second: number;
   readonly kind: string;
-  /** Whether a caller sent it; otherwise a target made it for a request above. */
+  /** Whether a caller sent it; otherwise a target sent it while it served another request. */
   readonly fromCaller: boolean;
   readonly ending: Ending;
-  /** Name of the result code; for a served one the class of its status, such as `5xx`. */
+  /** Name of the result code; for served requests the class of the status, such as `5xx`. */
   readonly cause: string;
   readonly count: number;
 }
@@ -47,7 +48,7 @@
   return [...rows.values()].sort(bySecondThenCount);
 }
 
-/** The same over the whole time: one row a kind, ending and cause; `second` is 0. */
+/** Sums rows over all seconds: one row per kind, sender, ending and cause, with `second` 0. */
 export function sumLosses(rows: readonly LossRow[]): readonly LossRow[] {
   const sums = new Map<string, LossRow>();
   for (const row of rows) {
@@ -72,13 +73,13 @@
 function causeOf({ code, status, detail }: LogLine['fields']): string {
   if (typeof status === 'number') return `${Math.floor(status / 100)}xx`;
   const name = typeof code === 'number' ? ResultCode[code] : undefined;
-  const below = typeof detail === 'string' ? serviceBelow(detail) : undefined;
-  const named = name ?? UNKNOWN;
-  return below === undefined ? named : `${named} for ${below}`;
+  const overloadedService = typeof detail === 'string' ? findOverloadedService(detail) : undefined;
+  const causeName = name ?? UNKNOWN;
+  return overloadedService === undefined ? causeName : `${causeName} for ${overloadedService}`;
 }
 
-/** Service whose load was the reason, where the detail names one. */
-function serviceBelow(detail: string): string | undefined {
+/** The overloaded service, where the detail names one. */
+function findOverloadedService(detail: string): string | undefined {
   return /refused for load of ([^,\s]+)/.exec(detail)?.[1];
 }
 
--- a/src/logs/request-story.test.ts
+++ b/src/logs/request-story.test.ts
@@ -13,14 +13,14 @@
   assert.deepEqual(storyOf([end, attempt, line({ id: 'other' })], 'one'), [attempt, end]);
 });
 
-test('calls made for a request are part of its story and come before its end', () => {
+test('calls made for a request are included and come before its end', () => {
   const end = line({ event: Event.RequestFailed, request: 'one' });
   const call = line({ id: 'one.two', request: 'one', event: Event.RequestRefused });
   const attempt = line({ id: 'one.two', time: 9 });
   assert.deepEqual(storyOf([end, attempt, call], 'one'), [attempt, call, end]);
 });
 
-test('a line is read with or without a prefix; others are passed over', () => {
+test('a log line is parsed with or without a prefix; other lines are ignored', () => {
   const text = '{"level":30,"time":7,"node":"n","event":400,"id":"x","code":2001,"msg":"m"}';
   const expected = { node: 'n', time: 7, event: 400, id: 'x', fields: { code: 2001 } };
   assert.deepEqual(parseLogLine(`12.5 n ${text}`), expected);
@@ -29,7 +29,7 @@
   assert.equal(parseLogLine('{"broken'), undefined);
 });
 
-test('a line is described with its event and members', () => {
+test('a line is formatted with its node, event, id and fields', () => {
   const text = describeLine(line({ fields: { code: 2001, detail: 'full' } }));
   assert.equal(text, 'a  AttemptFailed  one  code=2001 detail=full');
 });
--- a/src/logs/request-story.ts
+++ b/src/logs/request-story.ts
@@ -1,31 +1,32 @@
 /**
- * The story of one request from the log lines of several nodes. Clocks differ from node to node,
- * so lines are put in order by cause: the tries come before the end that the entry node logs, and
- * a request comes after the request that it was made for. Time of day decides only within a node.
+ * Selects the log lines of one request from the logs of several nodes. Clocks differ between nodes,
+ * so lines are sorted by cause: attempts come before the end that the entry node logs, and calls
+ * made for a request come before the end of that request. Only lines of equal rank are sorted by
+ * time.
  */
 import { Event } from '../kernel/event.js';
 
-/** A log line with what the story needs. */
+/** A parsed log line about a request. */
 export interface LogLine {
   readonly node: string;
   readonly time: number;
   readonly event: number;
-  /** Identity of the try. */
+  /** Id of the attempt. */
   readonly id: string;
-  /** Identity of the caller's request at the head of the chain; absent on some lines. */
+  /** Id of the caller's request, the root of the chain; absent on some lines. */
   readonly request?: string;
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Lines of events that end a request at its entry node. */
-const ENDS: ReadonlySet<number> = new Set([
+/** Events that a request's entry node logs at its end. */
+const END_EVENTS: ReadonlySet<number> = new Set([
   Event.RequestRefused,
   Event.RequestFailed,
   Event.RequestServed,
 ]);
 
-/** Members that every line has and that the story does not repeat. */
-const COMMON_MEMBERS: ReadonlySet<string> = new Set([
+/** Fields of the JSON line that `LogLine.fields` leaves out. */
+const COMMON_FIELDS: ReadonlySet<string> = new Set([
   'level',
   'time',
   'node',
@@ -36,7 +37,7 @@
   'request',
 ]);
 
-/** Reads one line; undefined when it is no log line about a request. */
+/** Parses one line; returns undefined when it is not a log line about a request. */
 export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) return undefined;
@@ -49,7 +50,7 @@
   const { node, time, event, id, request } = line;
   if (typeof id !== 'string' || typeof event !== 'number') return undefined;
   const fields = Object.fromEntries(
-    Object.entries(line).filter(([name]) => !COMMON_MEMBERS.has(name)),
+    Object.entries(line).filter(([name]) => !COMMON_FIELDS.has(name)),
   );
   return {
     node: typeof node === 'string' ? node : '?',
@@ -64,7 +65,7 @@
 /**
  * Lines about a request and the calls made for it, in order of cause.
  *
- * @param id identity of a try or of the caller's request
+ * @param id id of an attempt or of the caller's request
  */
 export function storyOf(lines: readonly LogLine[], id: string): readonly LogLine[] {
   const ids = new Set([id]);
@@ -72,15 +73,15 @@
   return lines.filter((line) => ids.has(line.id)).sort(byCause);
 }
 
-/** One line of the story, for a person. */
+/** Formats one line for display. */
 export function describeLine({ node, event, id, fields }: LogLine): string {
   const details = Object.entries(fields).map(([name, value]) => `${name}=${String(value)}`);
   return `${node}  ${Event[event] ?? event}  ${id}  ${details.join(' ')}`;
 }
 
 function byCause(a: LogLine, b: LogLine): number {
-  // The longer identity is of a call made for the shorter one; its lines come first.
+  // The longer id is of a call made for the request with the shorter one; its lines come first.
   if (a.id !== b.id) return b.id.length - a.id.length;
-  if (ENDS.has(a.event) !== ENDS.has(b.event)) return ENDS.has(a.event) ? 1 : -1;
+  if (END_EVENTS.has(a.event) !== END_EVENTS.has(b.event)) return END_EVENTS.has(a.event) ? 1 : -1;
   return a.time - b.time;
 }
