--- a/src/admin/admin-api.test.ts
+++ b/src/admin/admin-api.test.ts
@@ -20,7 +20,7 @@
   admin.metrics.limit.labels({ target: 'guide-1' }).set(11.5);
   admin.metrics.inFlight.labels({ target: 'guide-1' }).set(3);
   admin.metrics.queued.labels({ target: 'guide-1' }).set(2);
-  // Left from a time when a1 fronted guide-2 as well.
+  // Stale value from when a1 also fronted guide-2.
   admin.metrics.limit.labels({ target: 'guide-2' }).set(12);
 });
 after(() => admin.server.stop());
@@ -129,7 +129,7 @@
     body: { revision },
   },
   {
-    name: 'repeat with its operation id',
+    name: 'retry with the same operation id',
     method: 'ApplyRules',
     request: { ...change, expectedRevision: '0' },
     body: { revision },
@@ -223,12 +223,12 @@
   });
 }
 
-test('drain commands reach the target side and the kernel', () => {
+test('drain commands reach the targets of the node and its kernel', () => {
   assert.deepEqual(admin.drained, ['guide-1 true', 'guide-1 false']);
   assert.equal(admin.stops.count, 1);
 });
 
-test('GetStatus shows node, members, targets with their figures, revisions', async () => {
+test('GetStatus shows node, members, targets with their metrics, revisions', async () => {
   admin.membership.others = [createMember('b1', 'zone-b', { leavingTargets: ['guide-2'] })];
   const { body } = await call('GetStatus', {});
   const status = body as unknown as {
@@ -286,7 +286,7 @@
   return createClient(AdminService, transport);
 }
 
-test('the generated client gets a failure with every violation and the current revision', async () => {
+test('the generated client gets all violations, or the current revision on a conflict', async () => {
   const client = createTestClient(TEST_TOKEN);
   const invalid = createRulesDocument().replace('"slots":12', '"slots":0,"colour":"red"');
   const rejected = toFailure(
@@ -308,7 +308,7 @@
   { code: ResultCode.WriteOutcomeUnknown, execution: 'unknown' },
 ] as const;
 for (const { code, execution } of FAILURES) {
-  test(`ApplyRules passes ${ResultCode[code]} with execution and retry time`, async () => {
+  test(`ApplyRules returns ${ResultCode[code]} with execution and retry time`, async () => {
     const failure = createFailure(code, 'injected', { retryAfterMs: 250 });
     admin.repository.failures.push({ failure, applied: false });
     const call = createTestClient(TEST_TOKEN).applyRules({
@@ -338,13 +338,13 @@
   assert.deepEqual(seen, ['op-1@1', 'watch-1@2', 'watch-2@3']);
 });
 
-test('WatchRevisions refuses a wrong token with its number', async () => {
+test('WatchRevisions rejects a wrong token with its result code', async () => {
   const iterator = createTestClient('wrong-token').watchRevisions({})[Symbol.asyncIterator]();
   const failure = toFailure(await iterator.next().catch((error: unknown) => error));
   assert.equal(failure.code, ResultCode.OperatorUnauthenticated);
 });
 
-test('a stop of the server ends open watches', async () => {
+test('stopping the server ends open watches', async () => {
   const other = await startTestAdmin();
   await other.repository.apply({ ...change, expectedRevision: 0 });
   const client = createClient(
--- a/src/admin/admin-messages.ts
+++ b/src/admin/admin-messages.ts
@@ -1,4 +1,4 @@
-/** Messages by which a node passes an operator's command on to the node concerned. */
+/** Messages that forward an operator's command to the node that carries it out. */
 
 /** Starts or ends an operator's drain of a target that the receiving node fronts. */
 export interface DrainTargetMessage {
@@ -6,7 +6,7 @@
   readonly drained: boolean;
 }
 
-/** Whether the receiving node fronts the target and took the command. */
+/** Whether the receiving node fronts the target and accepted the command. */
 export interface DrainTargetReply {
   readonly applied: boolean;
 }
--- a/src/admin/admin-node.ts
+++ b/src/admin/admin-node.ts
@@ -1,4 +1,3 @@
-/** What the administration reads from its node; parts that the node runs without are absent. */
 import type { Container } from 'inversify';
 import type { ConfigStore } from '../config/config-store.js';
 import type { RulesRepository } from '../config/rules-repository.js';
@@ -16,7 +15,7 @@
 import type { TargetDispatcher } from '../target/target-dispatcher.js';
 import type { ServiceIdentifier } from 'inversify';
 
-/** See the module comment. */
+/** Parts of a node that the admin API uses; a part that the node runs without is absent. */
 export interface AdminNode {
   readonly settings: Settings;
   readonly clock: Clock;
--- a/src/admin/admin-plugin.ts
+++ b/src/admin/admin-plugin.ts
@@ -1,10 +1,9 @@
-/** Plug-in of the operators' interface. */
+/** Plug-in of the admin API. */
 import { registerPlugin, StartOrder } from '../kernel/plugin.js';
 import { createToken } from '../kernel/token.js';
 import { resolveAdminNode } from './admin-node.js';
 import { AdminServer } from './admin-server.js';
 
-/** The server of the operators' interface. */
 export const AdminServerToken = createToken<AdminServer>('AdminServer');
 
 registerPlugin({
--- a/src/admin/admin-port.test.ts
+++ b/src/admin/admin-port.test.ts
@@ -110,7 +110,7 @@
   });
 }
 
-/** The server still answers an ordinary call. */
+/** Checks that the server still serves an ordinary call. */
 async function assertServes(): Promise<void> {
   const answer = await fetch(`${admin.url}${STATUS}`, {
     method: 'POST',
@@ -152,7 +152,7 @@
   ],
 ];
 for (const [name, bytes] of RAW) {
-  test(`bytes that are no request get a numbered answer: ${name}`, async () => {
+  test(`malformed bytes get a response with a result code: ${name}`, async () => {
     const answer = await exchange(bytes);
     assert.match(answer, /^HTTP\/1\.1 400 /);
     assert.match(answer, new RegExp(`sillshore-result: ${ResultCode.MalformedRequest}`));
@@ -160,14 +160,17 @@
   });
 }
 
-const HEAD = `POST ${STATUS} HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer ${TEST_TOKEN}\r\n`;
+const REQUEST_HEAD = `POST ${STATUS} HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer ${TEST_TOKEN}\r\n`;
 const SLOW: readonly (readonly [string, string])[] = [
-  ['a head that does not end', HEAD],
-  ['a body that does not end', `${HEAD}Content-Type: ${JSON_TYPE}\r\nContent-Length: 9\r\n\r\n{`],
+  ['a head that does not end', REQUEST_HEAD],
+  [
+    'a body that does not end',
+    `${REQUEST_HEAD}Content-Type: ${JSON_TYPE}\r\nContent-Length: 9\r\n\r\n{`,
+  ],
   ['nothing at all', ''],
 ];
 for (const [name, text] of SLOW) {
-  test(`a slow sender gets a numbered answer: ${name}`, async () => {
+  test(`a slow sender gets a response with a result code: ${name}`, async () => {
     const limits = { requestMs: 40, headersMs: 20, checkMs: 10 };
     const slow = await startTestAdmin({}, limits);
     const answer = await exchange(Buffer.from(text), slow.port);
@@ -200,7 +203,7 @@
   await draining.server.stop();
 });
 
-test('a node without configuration parts answers NotReady', async () => {
+test('a node without configuration responds with NotReady', async () => {
   const bare = await startTestAdmin({
     rulesRepository: undefined,
     configStore: undefined,
@@ -219,7 +222,7 @@
   await assert.rejects(startTestAdmin({ settings: taken }), /EADDRINUSE/);
 });
 
-test('a defect in a method is logged and answered as an internal error', async () => {
+test('an exception in a method is logged and returned as an internal error', async () => {
   const logged: Event[] = [];
   const broken = await startTestAdmin({
     log: { emit: (event) => logged.push(event) },
--- a/src/admin/admin-server.ts
+++ b/src/admin/admin-server.ts
@@ -1,4 +1,3 @@
-/** The HTTP server of the administration port: remote calls, metrics, health. */
 import { createServer as createHttpServer, type Server, type ServerOptions } from 'node:http';
 import { createServer as createHttpsServer } from 'node:https';
 import type { AddressInfo, Socket } from 'node:net';
@@ -21,13 +20,13 @@
 /** Largest request in bytes: a rules document of 4 Mi characters, with room for JSON escapes. */
 export const MAX_REQUEST_BYTES = 8 * 1024 * 1024;
 
-/** Times that a client is given, in milliseconds. */
+/** Time limits for requests of clients, in milliseconds. */
 export interface AdminTimeLimits {
   /** For the whole request, body included. */
   readonly requestMs: number;
-  /** For the head of the request. */
+  /** For the header section of the request. */
   readonly headersMs: number;
-  /** How often connections are checked against these limits. */
+  /** Interval at which connections are checked against these limits. */
   readonly checkMs: number;
 }
 
@@ -37,22 +36,22 @@
   checkMs: 1_000,
 };
 
-/** Time that running calls get when the server stops, in milliseconds. */
+/** Time that running calls have to finish when the server stops. */
 const STOP_GRACE_MS = 2_000;
 
-/** Path below which all remote calls stand. */
+/** Common path prefix of all remote calls. */
 const SERVICE_PATH = `/${AdminService.typeName}`;
 
 function isRemoteCall(request: Request): boolean {
   return request.path.startsWith(`${SERVICE_PATH}/`);
 }
 
-/** Whether a connection ended in its TLS handshake. */
+/** Whether a connection failed in its TLS handshake. */
 function isTlsFailure({ code = '' }: NodeJS.ErrnoException): boolean {
   return code.startsWith('ERR_SSL_') || code.startsWith('ERR_TLS_') || code === 'EPROTO';
 }
 
-/** See the module comment. */
+/** HTTP server of the admin port: admin API, metrics, health and readiness. */
 export class AdminServer {
   private readonly shutdown = new AbortController();
   private readonly server: Server;
@@ -79,7 +78,7 @@
     });
     this.server.on('request', (request, response) => {
       response.once('finish', () => {
-        // Otherwise a connection that was busy when the server closed stays open while idle.
+        // Otherwise a connection that was busy when the server closed would stay open when idle.
         if (this.shutdown.signal.aborted) request.socket.end();
       });
     });
@@ -88,12 +87,12 @@
     });
   }
 
-  /** Port that the server listens on; the settings may ask for any free one by 0. */
+  /** Port that the server listens on; a free one when the port in the settings is 0. */
   get port(): number {
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Listens; rejects when the address cannot be had. */
+  /** Starts to listen; rejects when the address cannot be bound. */
   async start(): Promise<void> {
     const { host, port } = splitAddress(this.node.settings.listen.admin);
     await new Promise<void>((resolve, reject) => {
@@ -105,7 +104,7 @@
     });
   }
 
-  /** Ends streams, lets running calls end within a limit, closes. */
+  /** Ends streams, gives running calls {@link STOP_GRACE_MS} to finish, and closes the server. */
   async stop(): Promise<void> {
     this.shutdown.abort();
     const cancel = this.node.clock.schedule(STOP_GRACE_MS, () => {
@@ -161,12 +160,12 @@
       if (isRemoteCall(request)) sendConnectError(response, failure);
       else sendProblem(response, failure);
     });
-    app.use(this.answerDefect());
+    app.use(this.handleDefect());
     return app;
   }
 
   /**
-   * Refuses remote calls without an operator's token, before their body is read. What a token
+   * Rejects remote calls without an operator's token before their body is read. What a token
    * allows depends on the body and is checked by {@link checkPermissions}.
    */
   private authenticate(): RequestHandler {
@@ -190,8 +189,8 @@
     };
   }
 
-  private answerDefect(): ErrorRequestHandler {
-    // express tells error handlers by their four parameters.
+  private handleDefect(): ErrorRequestHandler {
+    // express recognizes error handlers by their four parameters.
     return (error: unknown, _request, response, next) => {
       this.node.log.emit(Event.InternalError, { plugin: 'admin', error: String(error) });
       if (response.headersSent) next(error);
@@ -201,7 +200,7 @@
 
   private answerClientError(error: NodeJS.ErrnoException, socket: Socket): void {
     if (isTlsFailure(error)) {
-      // There is no key to answer with.
+      // The handshake failed, so no response can be encrypted.
       this.node.log.emit(Event.OperatorRejected, { error: error.code, from: socket.remoteAddress });
       socket.destroy();
       return;
--- a/src/admin/admin-service.ts
+++ b/src/admin/admin-service.ts
@@ -1,4 +1,4 @@
-/** The methods of AdminService; see proto/sillshore/admin/v1/admin.proto for their contract. */
+/** Implements AdminService; proto/sillshore/admin/v1/admin.proto describes its methods. */
 import type { HandlerContext, ServiceImpl } from '@connectrpc/connect';
 import { Result } from 'true-myth';
 import { stringify } from 'yaml';
@@ -21,13 +21,12 @@
 import { toRevision } from './revision-codec.js';
 import { watchRevisions } from './revision-watch.js';
 
-const DEFAULT_HISTORY = 20;
-const MAX_HISTORY = 100;
-/** Watches that a node serves at once. */
+const DEFAULT_HISTORY_LIMIT = 20;
+const MAX_HISTORY_LIMIT = 100;
+/** Concurrent WatchRevisions streams per node. */
 const MAX_WATCHES = 64;
-const TENANT = /^[a-z][a-z0-9-]{0,62}$/;
+const TENANT_NAME = /^[a-z][a-z0-9-]{0,62}$/;
 
-/** Creates the service of a node. */
 export function createAdminService(
   node: AdminNode,
   drains: DrainCommands,
@@ -130,7 +129,7 @@
 }
 
 function requireTenant(tenant: string): void {
-  if (TENANT.test(tenant)) return;
+  if (TENANT_NAME.test(tenant)) return;
   throw invalidField('tenant: lower-case letters, digits and hyphens, 1 to 63, letter first');
 }
 
@@ -141,9 +140,9 @@
 }
 
 function toLimit(limit: number): number {
-  if (limit === 0) return DEFAULT_HISTORY;
-  if (limit > 0 && limit <= MAX_HISTORY) return limit;
-  throw invalidField(`limit: 0 to ${MAX_HISTORY}`);
+  if (limit === 0) return DEFAULT_HISTORY_LIMIT;
+  if (limit > 0 && limit <= MAX_HISTORY_LIMIT) return limit;
+  throw invalidField(`limit: 0 to ${MAX_HISTORY_LIMIT}`);
 }
 
 function invalidField(detail: string): Error {
--- a/src/admin/admin-tls.test.ts
+++ b/src/admin/admin-tls.test.ts
@@ -1,4 +1,4 @@
-/** The operators' port with TLS. */
+/** The admin port with TLS. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { connect } from 'node:net';
@@ -38,7 +38,7 @@
   await Promise.all([admin.server.stop(), plainAdmin.server.stop()]);
 });
 
-/** Asks for the status; the result code of the call. */
+/** Calls GetStatus and returns its result code. */
 async function fetchStatus(baseUrl: string, ca: string): Promise<ResultCode> {
   const transport = createConnectTransport({
     baseUrl,
@@ -61,11 +61,11 @@
 
 const { Ok, PeerLost, PeerUnreachable } = ResultCode;
 const CASES: readonly (readonly [string, () => Promise<ResultCode>, ResultCode])[] = [
-  ['the right authority', () => fetchStatus(urlOf(admin, 'https'), TEST_TLS.ca), Ok],
-  ['another authority', () => fetchStatus(urlOf(admin, 'https'), STRANGER_TLS.ca), PeerUnreachable],
-  ['a plain client', () => fetchStatus(urlOf(admin, 'http'), ''), PeerLost],
+  ['the right CA', () => fetchStatus(urlOf(admin, 'https'), TEST_TLS.ca), Ok],
+  ['another CA', () => fetchStatus(urlOf(admin, 'https'), STRANGER_TLS.ca), PeerUnreachable],
+  ['a client without TLS', () => fetchStatus(urlOf(admin, 'http'), ''), PeerLost],
   [
-    'TLS to a plain port',
+    'TLS to a port without TLS',
     () => fetchStatus(urlOf(plainAdmin, 'https'), TEST_TLS.ca),
     PeerUnreachable,
   ],
@@ -76,14 +76,14 @@
 }
 
 for (const [name, run, expected] of CASES) {
-  test(`${name}: ${ResultCode[expected]}, and the port goes on`, async () => {
+  test(`${name}: ${ResultCode[expected]}, and the port still serves`, async () => {
     assert.equal(ResultCode[await run()], ResultCode[expected]);
     assert.equal(await fetchStatus(urlOf(admin, 'https'), TEST_TLS.ca), Ok);
     assert.equal(await fetchStatus(urlOf(plainAdmin, 'http'), ''), Ok);
   });
 }
 
-test('a plain request on the TLS port is closed with an event', async () => {
+test('a request without TLS to the TLS port is closed and logged', async () => {
   events.length = 0;
   const socket = connect(admin.port, '127.0.0.1');
   socket.on('error', () => {});
@@ -99,7 +99,7 @@
   );
 });
 
-test('a stop does not wait for a client that is silent in its TLS handshake', async () => {
+test('a stop does not wait for a client that never completes its TLS handshake', async () => {
   events.length = 0;
   const clock = new ManualClock();
   const limits = { requestMs: 30_000, headersMs: 30_000, checkMs: 1_000 };
@@ -111,7 +111,7 @@
   const stopped = stopping.server.stop();
   clock.advance(2_000);
   await stopped;
-  // Not by the time limit of the handshake.
+  // The handshake timeout, which would log this event, did not close the connection.
   assert.ok(!events.some(([event]) => event === Event.OperatorRejected));
 });
 
@@ -121,7 +121,7 @@
   ['no key', { certificate }],
 ];
 for (const [name, tls] of INVALID) {
-  test(`settings are refused: ${name}`, () => {
+  test(`settings are rejected: ${name}`, () => {
     const result = validateSettings({ ...plain, admin: { ...plain.admin, tls } });
     assert.equal(result.isErr && result.error.code, ResultCode.SettingsInvalid);
     const text = JSON.stringify(result);
--- a/src/admin/authentication.ts
+++ b/src/admin/authentication.ts
@@ -8,7 +8,7 @@
 /** What the holder of a token may do. */
 export interface OperatorGrant {
   readonly tenants: 'all' | readonly string[];
-  /** A reader changes nothing. */
+  /** A reader cannot change anything. */
   readonly role: 'operator' | 'reader';
 }
 
@@ -25,9 +25,9 @@
   }
 
   /**
-   * The grant of the token that an `Authorization` field presents; undefined when it is none.
-   * Digests are compared in constant time and all of them are, so that neither a token's
-   * content and length nor its place in the settings shows in the timing.
+   * Returns the grant of the token in an `Authorization` field; undefined when the token is not
+   * valid. Compares all digests, each in constant time, so that the timing reveals neither a
+   * token's content and length nor its place in the settings.
    */
   find(authorization: string | undefined): OperatorGrant | undefined {
     const presented = BEARER.exec(authorization ?? '')?.[1];
--- a/src/admin/authorization.test.ts
+++ b/src/admin/authorization.test.ts
@@ -54,7 +54,7 @@
   return { code, body: (await answer.json()) as Answer['body'] };
 }
 
-/** Calls the streaming method; the code of its first message, in the Connect envelope. */
+/** Calls the streaming method; returns the result code in its first Connect envelope. */
 async function watch(token: string, request: unknown): Promise<number> {
   const json = Buffer.from(JSON.stringify(request));
   const head = Buffer.alloc(5);
@@ -76,7 +76,7 @@
     : Number(/"sillshore-result":\["(\d+)"\]/.exec(text)?.[1]);
 }
 
-const { Ok, OperatorForbidden: Forbidden, OperatorUnauthenticated: Unknown } = ResultCode;
+const { Ok, OperatorForbidden: Forbidden, OperatorUnauthenticated: Unauthenticated } = ResultCode;
 
 /** Columns of {@link METHODS}. */
 const TOKENS = [
@@ -88,25 +88,25 @@
   hashOfOperator,
 ];
 type Codes = readonly [number, number, number, number, number, number];
-const READ: Codes = [Ok, Ok, Ok, Ok, Forbidden, Unknown];
-const CHANGE: Codes = [Ok, Forbidden, Ok, Forbidden, Forbidden, Unknown];
-const READ_ALL: Codes = [Ok, Ok, Forbidden, Forbidden, Forbidden, Unknown];
-const CHANGE_ALL: Codes = [Ok, Forbidden, Forbidden, Forbidden, Forbidden, Unknown];
-const READ_OWN: Codes = [Ok, Ok, Ok, Ok, Ok, Unknown];
+const READ: Codes = [Ok, Ok, Ok, Ok, Forbidden, Unauthenticated];
+const CHANGE: Codes = [Ok, Forbidden, Ok, Forbidden, Forbidden, Unauthenticated];
+const READ_ALL: Codes = [Ok, Ok, Forbidden, Forbidden, Forbidden, Unauthenticated];
+const CHANGE_ALL: Codes = [Ok, Forbidden, Forbidden, Forbidden, Forbidden, Unauthenticated];
+const READ_OWN: Codes = [Ok, Ok, Ok, Ok, Ok, Unauthenticated];
 const NO_TARGET: Codes = [
   ResultCode.InvalidArgument,
   Forbidden,
   Forbidden,
   Forbidden,
   Forbidden,
-  Unknown,
+  Unauthenticated,
 ];
 
-// The repeat of an applied change, under its operation id, is answered as the first time.
-const repeat = { tenant, document, expectedRevision: '0', operationId: 'op-0', author: 'ana' };
+// A retry of an applied change under its operation id gets the same response as the first call.
+const retry = { tenant, document, expectedRevision: '0', operationId: 'op-0', author: 'ana' };
 const METHODS: readonly (readonly [string, unknown, Codes])[] = [
   ['ValidateRules', { tenant, document }, READ],
-  ['ApplyRules', repeat, CHANGE],
+  ['ApplyRules', retry, CHANGE],
   ['GetRules', { tenant }, READ],
   ['ListRevisions', { tenant }, READ],
   ['GetInForce', { tenant }, READ],
@@ -121,8 +121,8 @@
 for (const [method, request, codes] of METHODS) {
   for (const [index, token] of TOKENS.entries()) {
     const expected = codes[index]!;
-    const holder = token === hashOfOperator ? 'a hash of the settings' : token;
-    test(`${method} ${Object.keys(request as object).join()} as ${holder}`, async () => {
+    const tokenName = token === hashOfOperator ? 'a hash of the settings' : token;
+    test(`${method} ${Object.keys(request as object).join()} as ${tokenName}`, async () => {
       const code =
         method === 'WatchRevisions'
           ? await watch(token, request)
@@ -140,11 +140,11 @@
   );
 });
 
-test('a refused change reaches neither the repository nor the node', async () => {
+test('a rejected change reaches neither the repository nor the node', async () => {
   const { applies } = admin.repository;
   const stops = admin.stops.count;
   const drained = admin.drained.length;
-  await call('fjordbygg-operator', 'ApplyRules', { ...repeat, operationId: 'op-1' });
+  await call('fjordbygg-operator', 'ApplyRules', { ...retry, operationId: 'op-1' });
   await call('fjordbygg-operator', 'DrainTarget', { target: 'guide-1' });
   await call('fjordbygg-operator', 'DrainNode', {});
   assert.deepEqual(
@@ -153,12 +153,12 @@
   );
 });
 
-const PARTS: readonly (readonly [string, number, number, number])[] = [
+const VISIBLE_COUNTS: readonly (readonly [string, number, number, number])[] = [
   ['reader-of-all', 2, 2, 1],
   ['roteiro-reader', 0, 2, 1],
   ['fjordbygg-operator', 0, 0, 0],
 ];
-for (const [token, members, targets, revisions] of PARTS) {
+for (const [token, members, targets, revisions] of VISIBLE_COUNTS) {
   test(`status as ${token}: ${members} members, ${targets} targets`, async () => {
     const { body } = await call(token, 'GetStatus', {});
     const lengths = [body['members'], body['targets'], body['revisions']].map(
@@ -181,7 +181,7 @@
   ],
 ];
 for (const [name, value] of INVALID) {
-  test(`settings are refused: ${name}`, () => {
+  test(`settings are rejected: ${name}`, () => {
     const result = validateSettings({ ...createTestSettings(), admin: value });
     assert.equal(result.isErr && result.error.code, ResultCode.SettingsInvalid);
   });
--- a/src/admin/authorization.ts
+++ b/src/admin/authorization.ts
@@ -1,4 +1,4 @@
-/** What each method asks of an operator's token, and the check of it. */
+/** Checks that an operator's token has the role and the tenants that a method requires. */
 import { createContextKey, createContextValues } from '@connectrpc/connect';
 import type { ContextValues, Interceptor } from '@connectrpc/connect';
 import { createFailure, type Failure } from '../core/failure.js';
@@ -10,9 +10,9 @@
 import { toConnectError } from './connect-error.js';
 
 /**
- * Tenants that a token must stand for: `tenant` the one that the request names (all when it
- * names none), `target` the one whose rules in force hold the target, `all` every one, `any`
- * none in particular: the method shows each token its own part.
+ * Tenants that a token must cover. `tenant`: the one that the request names, or all when it names
+ * none. `target`: the one whose rules in force contain the target. `all`: every tenant. `any`: no
+ * particular one; the method returns only the data of the token's tenants.
  */
 type Scope = 'tenant' | 'target' | 'all' | 'any';
 
@@ -21,7 +21,7 @@
   readonly scope: Scope;
 }
 
-/** A new method does not compile before it has its row here. */
+/** The type makes a new method without an entry here a compile error. */
 const REQUIREMENTS: Readonly<Record<keyof typeof AdminService.method, Requirement>> = {
   validateRules: { role: 'reader', scope: 'tenant' },
   applyRules: { role: 'operator', scope: 'tenant' },
@@ -34,10 +34,10 @@
   drainNode: { role: 'operator', scope: 'all' },
 };
 
-/** Names are no longer than this; more of a request's text is not repeated. */
+/** Longest valid name, in characters; longer text from a request is cut in messages. */
 const MAX_NAME_LENGTH = 63;
 
-/** The members of a request that name what it is about. */
+/** Members of a request that name the tenant or target it concerns. */
 interface Subject {
   readonly tenant?: string;
   readonly target?: string;
@@ -46,22 +46,22 @@
 const NO_GRANT: OperatorGrant = { tenants: [], role: 'reader' };
 const GRANT = createContextKey<OperatorGrant>(NO_GRANT);
 
-/** Carries a token's grant to the interceptor and the methods. */
+/** Passes a token's grant to the interceptor and the methods. */
 export function createOperatorContext(grant: OperatorGrant | undefined): ContextValues {
   return createContextValues().set(GRANT, grant ?? NO_GRANT);
 }
 
-/** The grant of the token that a request came with. */
+/** Returns the grant of the request's token. */
 export function grantOf(values: ContextValues): OperatorGrant {
   return values.get(GRANT);
 }
 
-/** Whether a grant stands for a tenant. */
+/** Whether a grant covers a tenant. */
 export function includesTenant({ tenants }: OperatorGrant, tenant: string): boolean {
   return tenants === 'all' || tenants.includes(tenant);
 }
 
-/** Refuses what the request's token does not allow, with `OperatorForbidden`. */
+/** Rejects requests that their token does not allow, with `OperatorForbidden`. */
 export function checkPermissions(node: Pick<AdminNode, 'configStore' | 'log'>): Interceptor {
   return (next) => (request) => {
     const method = request.method.localName as keyof typeof AdminService.method;
@@ -108,11 +108,11 @@
   if (scope === 'all') return forbid('the token is not for all tenants');
   const owner = configStore?.findTarget(target)?.tenant;
   if (owner !== undefined && includesTenant(grant, owner)) return undefined;
-  // The same answer for no such target, so that other tenants' targets cannot be found out.
+  // An unknown target gets the same message, so that other tenants' targets stay undisclosed.
   return forbid(`no target ${quote(target)} in the rules in force of the token's tenants`);
 }
 
-/** The start of a text that a request holds, for a message. */
+/** Quotes the start of a text from a request, for a message. */
 function quote(text: string): string {
   return JSON.stringify(text.slice(0, MAX_NAME_LENGTH));
 }
--- a/src/admin/connect-error.test.ts
+++ b/src/admin/connect-error.test.ts
@@ -5,7 +5,7 @@
 import { RESULT_CODES, ResultCode } from '../core/result-code.js';
 import { toConnectCode, toConnectError, toFailure } from './connect-error.js';
 
-test('every failure survives the way to the client and back', () => {
+test('every failure survives conversion to a Connect error and back', () => {
   for (const [code, { execution }] of RESULT_CODES) {
     const failure = createFailure(code, 'detail', { execution, retryAfterMs: 5 });
     assert.deepEqual(toFailure(toConnectError(failure)), failure);
@@ -29,24 +29,24 @@
   });
 }
 
-const BARE: readonly (readonly [string, unknown, ResultCode])[] = [
+const WITHOUT_DETAIL: readonly (readonly [string, unknown, ResultCode])[] = [
   ['connection refused', new ConnectError('refused', Code.Unavailable), ResultCode.PeerUnreachable],
   ['time limit', new ConnectError('late', Code.DeadlineExceeded), ResultCode.PeerTimeout],
   ['connection lost', new ConnectError('lost', Code.Aborted), ResultCode.PeerLost],
   ['a defect', new Error('defect'), ResultCode.Internal],
   [
-    'a numbered header only',
+    'a result code in the header only',
     new ConnectError('x', Code.Unknown, { 'sillshore-result': '5006' }),
     ResultCode.OperatorUnauthenticated,
   ],
   [
-    'an unknown number',
+    'an unknown result code in the header',
     new ConnectError('x', Code.Unknown, { 'sillshore-result': '77' }),
     ResultCode.Internal,
   ],
 ];
-for (const [name, error, code] of BARE) {
-  test(`an error without detail gets a number: ${name}`, () => {
+for (const [name, error, code] of WITHOUT_DETAIL) {
+  test(`an error without detail gets a result code: ${name}`, () => {
     assert.equal(toFailure(error).code, code);
   });
 }
--- a/src/admin/connect-error.ts
+++ b/src/admin/connect-error.ts
@@ -1,4 +1,4 @@
-/** Failures on the wire of the operators' interface: Connect errors that carry an ErrorDetail. */
+/** Converts failures to Connect errors with an ErrorDetail, and back. */
 import { create } from '@bufbuild/protobuf';
 import { Code, ConnectError } from '@connectrpc/connect';
 import type { Result } from 'true-myth';
@@ -12,7 +12,7 @@
   type ErrorDetail,
 } from '../gen/sillshore/admin/v1/admin_pb.js';
 
-/** Header field of every error answer; holds the numbered result code. */
+/** Header field with the numeric result code, in every error response. */
 export const RESULT_HEADER = 'sillshore-result';
 
 const CODE_BY_HTTP_STATUS: Readonly<Record<number, Code>> = {
@@ -32,8 +32,8 @@
   504: Code.DeadlineExceeded,
 };
 
-/** Codes for errors that came without a detail: from the Connect library or the network. */
-const RESULT_BY_CODE: Partial<Record<Code, ResultCode>> = {
+/** Result codes for errors without a detail, from the Connect library or the network. */
+const RESULT_BY_CONNECT_CODE: Partial<Record<Code, ResultCode>> = {
   [Code.InvalidArgument]: ResultCode.MalformedRequest,
   [Code.ResourceExhausted]: ResultCode.BodyTooLarge,
   [Code.Unimplemented]: ResultCode.UnknownKind,
@@ -52,12 +52,12 @@
   unknown: WireExecution.UNKNOWN,
 };
 
-/** Connect code of a result code; see docs/RESULT-CODES.md for its HTTP status. */
+/** Returns the Connect code of a result code; docs/RESULT-CODES.md lists the HTTP status. */
 export function toConnectCode(code: ResultCode): Code {
   return CODE_BY_HTTP_STATUS[describeResultCode(code).httpStatus] ?? Code.Internal;
 }
 
-/** The error that carries a failure to an operator's client. */
+/** Creates the error that an operator's client receives for a failure. */
 export function toConnectError(failure: ApplyFailure): ConnectError {
   const { title } = describeResultCode(failure.code);
   const value = create(ErrorDetailSchema, {
@@ -79,7 +79,7 @@
   );
 }
 
-/** The failure in an error that a client received; network errors get a code as well. */
+/** Returns the failure in an error that a client received; network errors get a code as well. */
 export function toFailure(error: unknown): ApplyFailure {
   const connectError = ConnectError.from(error);
   const [detail] = connectError.findDetails(ErrorDetailSchema);
@@ -90,14 +90,14 @@
   const header = Number(connectError.metadata.get(RESULT_HEADER) ?? Number.NaN);
   const code = RESULT_CODES.has(header)
     ? (header as ResultCode)
-    : (RESULT_BY_CODE[connectError.code] ?? ResultCode.Internal);
+    : (RESULT_BY_CONNECT_CODE[connectError.code] ?? ResultCode.Internal);
   return createFailure(code, connectError.rawMessage);
 }
 
-/** Errors of the check of a server's certificate, which comes before the request is sent. */
+/** Errors from checking a server's certificate, which happens before the request is sent. */
 const CERTIFICATE_ERROR = /^(CERT_|UNABLE_TO_|SELF_SIGNED_|DEPTH_ZERO_|ERR_TLS_CERT_)/;
 
-/** Whether TLS could not be set up: another authority or name, or a server without TLS. */
+/** Whether TLS setup failed: certificate of another CA or name, or a server without TLS. */
 function failedBeforeRequest(cause: unknown): boolean {
   if (!(cause instanceof Error)) return false;
   const code = String((cause as NodeJS.ErrnoException).code);
@@ -105,7 +105,7 @@
   return code === 'EPROTO' && cause.message.includes('wrong version number');
 }
 
-/** The value of a result; throws the Connect error of its failure. */
+/** Returns the value of a result, or throws the Connect error for its failure. */
 export function unwrapOrThrow<T>(result: Result<T, Failure>): T {
   if (result.isErr) throw toConnectError(result.error);
   return result.value;
--- a/src/admin/connect-middleware.ts
+++ b/src/admin/connect-middleware.ts
@@ -1,6 +1,6 @@
 /**
- * Serves a Connect router under express. Unlike the library's own middleware it also numbers
- * the errors that the library makes by itself: malformed JSON, wrong types, wrong content
+ * Serves a Connect router under express. Unlike the library's own middleware it also adds a result
+ * code to the errors that the library creates itself: malformed JSON, wrong types, wrong content
  * type, oversized bodies.
  */
 import { Code, ConnectError, createConnectRouter } from '@connectrpc/connect';
@@ -16,22 +16,21 @@
 import { ResultCode } from '../core/result-code.js';
 import { RESULT_HEADER, toConnectError } from './connect-error.js';
 
-/** Options of {@link createConnectMiddleware}. */
 export interface ConnectMiddlewareOptions {
   readonly routes: (router: ConnectRouter) => void;
   /** Largest request message in bytes. */
   readonly maxRequestBytes: number;
   /** Ends the streams when it aborts. */
   readonly shutdownSignal: AbortSignal;
-  /** Run around each method, in this order. */
+  /** Interceptors of every method, in the order in which they run. */
   readonly interceptors: readonly Interceptor[];
-  /** Values that interceptors and methods read about a request. */
+  /** Creates the values of a request that interceptors and methods read. */
   readonly contextValues: (request: Request) => ContextValues;
-  /** Told of errors that are defects. */
+  /** Called with unexpected errors, which are defects. */
   readonly onDefect: (error: unknown) => void;
 }
 
-const RESULT_BY_STATUS: Readonly<Record<number, ResultCode>> = {
+const RESULT_BY_HTTP_STATUS: Readonly<Record<number, ResultCode>> = {
   400: ResultCode.MalformedRequest,
   405: ResultCode.MalformedRequest,
   413: ResultCode.BodyTooLarge,
@@ -39,7 +38,7 @@
   429: ResultCode.BodyTooLarge,
 };
 
-/** Creates the middleware; paths that are no method of the router go to the next handler. */
+/** Creates the middleware; requests for paths without a method go to the next handler. */
 export function createConnectMiddleware(options: ConnectMiddlewareOptions): RequestHandler {
   const router = createConnectRouter({
     connect: true,
@@ -47,7 +46,7 @@
     grpcWeb: false,
     readMaxBytes: options.maxRequestBytes,
     shutdownSignal: options.shutdownSignal,
-    // A misspelt member would otherwise be passed over and its default taken.
+    // Otherwise a misspelt member would be ignored and its default used.
     jsonOptions: { ignoreUnknownFields: false },
     interceptors: [reportDefects(options.onDefect), ...options.interceptors],
   });
@@ -61,7 +60,7 @@
     }
     const values = options.contextValues(request);
     handler(universalRequestFromNodeRequest(request, response, undefined, values))
-      .then((answer) => numberError(answer))
+      .then((answer) => addResultCode(answer))
       .then((answer) => universalResponseToNodeResponse(answer, response))
       .catch((error: unknown) => {
         if (ConnectError.from(error).code !== Code.Aborted) options.onDefect(error);
@@ -69,18 +68,18 @@
   };
 }
 
-/** Answers a request with a failure in the form of a Connect error. */
+/** Responds to a request with a failure in the form of a Connect error. */
 export function sendConnectError(response: Response, failure: Failure): void {
   const { status, header, body } = toResponse(failure);
   response.status(status).set(header).end(body);
 }
 
-/** Path of a request without its query, for logs. */
+/** Returns the method's name, the last segment of the request's path; for logs. */
 export function methodOf(request: Request): string {
   return request.path.split('/').at(-1) ?? '';
 }
 
-/** Reports what a method throws besides Connect errors; the client sees an internal error. */
+/** Reports errors of a method other than Connect errors; the client gets an internal error. */
 function reportDefects(onDefect: (error: unknown) => void): Interceptor {
   return (next) => async (request) => {
     try {
@@ -92,15 +91,15 @@
   };
 }
 
-async function numberError(answer: UniversalServerResponse): Promise<UniversalServerResponse> {
+async function addResultCode(answer: UniversalServerResponse): Promise<UniversalServerResponse> {
   const header = answer.header ?? new Headers();
   if (answer.status < 400 || header.has(RESULT_HEADER)) return answer;
   const message = await readMessage(answer.body);
   // The library reports a malformed binary message as an internal error.
   const status = message.startsWith('parse binary:') ? 400 : answer.status;
-  const code = RESULT_BY_STATUS[status] ?? ResultCode.Internal;
-  const { body, header: numbered } = toResponse(createFailure(code, message));
-  for (const [name, value] of Object.entries(numbered)) header.set(name, value);
+  const code = RESULT_BY_HTTP_STATUS[status] ?? ResultCode.Internal;
+  const { body, header: errorHeader } = toResponse(createFailure(code, message));
+  for (const [name, value] of Object.entries(errorHeader)) header.set(name, value);
   return { ...answer, status, header, body: toAsyncIterable(body) };
 }
 
@@ -116,10 +115,10 @@
     'content-length': String(body.byteLength),
     [RESULT_HEADER]: String(failure.code),
   };
-  return { status: STATUS_BY_CODE[error.code] ?? 500, header, body };
+  return { status: HTTP_STATUS_BY_CONNECT_CODE[error.code] ?? 500, header, body };
 }
 
-const STATUS_BY_CODE: Partial<Record<Code, number>> = {
+const HTTP_STATUS_BY_CONNECT_CODE: Partial<Record<Code, number>> = {
   [Code.InvalidArgument]: 400,
   [Code.Unauthenticated]: 401,
   [Code.NotFound]: 404,
--- a/src/admin/drain-commands.test.ts
+++ b/src/admin/drain-commands.test.ts
@@ -12,7 +12,7 @@
 } from '../../test/support/test-admin.js';
 import { DrainCommands } from './drain-commands.js';
 
-/** Node a1, which is asked, and node b1 in zone-b, which fronts guide-2. */
+/** Creates node a1, which receives the commands, and node b1 in zone-b, which fronts guide-2. */
 async function createPair() {
   const hub = new InMemoryPeerHub(new ManualClock());
   const drained: string[] = [];
@@ -24,8 +24,8 @@
   };
   const network = hub.createNetwork('a1');
   network.setAddress('b1', 'in memory');
-  const asked = createTestNode({ peers: network });
-  await asked.repository.apply({
+  const receiver = createTestNode({ peers: network });
+  await receiver.repository.apply({
     tenant: 'roteiro-vivo',
     document: createRulesDocument(),
     expectedRevision: 0,
@@ -39,48 +39,48 @@
     targets: fronting,
   });
   new DrainCommands(other.node).registerHandlers();
-  return { hub, asked, other, drained, commands: new DrainCommands(asked.node) };
+  return { hub, receiver, other, drained, commands: new DrainCommands(receiver.node) };
 }
 
-test('a drain of a target goes to the node that fronts it, and there only', async () => {
-  const { commands, drained, asked } = await createPair();
+test('a drain of a target goes only to the node that fronts it', async () => {
+  const { commands, drained, receiver } = await createPair();
   assert.ok((await commands.drainTarget({ target: 'guide-2', drained: true })).isOk);
   assert.ok((await commands.drainTarget({ target: 'guide-2', drained: false })).isOk);
   assert.deepEqual(drained, ['guide-2 true', 'guide-2 false']);
-  assert.deepEqual(asked.drained, []);
+  assert.deepEqual(receiver.drained, []);
 });
 
-test('the settings of a node decide who fronts a target', async () => {
-  const { commands, drained, asked } = await createPair();
-  asked.membership.others = [createMember('b1', 'zone-b', { fronts: ['guide-1'] })];
+test('a node fronts the targets that its settings name', async () => {
+  const { commands, drained, receiver } = await createPair();
+  receiver.membership.others = [createMember('b1', 'zone-b', { fronts: ['guide-1'] })];
   const outcome = await commands.drainTarget({ target: 'guide-1', drained: true });
   assert.deepEqual(drained, ['guide-1 true']);
   assert.equal(outcome.isErr && outcome.error.code, ResultCode.PeerUnreachable);
 });
 
-test('a fronting node that is gone fails the command', async () => {
+test('a drain fails when the fronting node is gone', async () => {
   const { commands, hub } = await createPair();
   hub.remove('b1');
   const outcome = await commands.drainTarget({ target: 'guide-2', drained: true });
   assert.equal(outcome.isErr && outcome.error.code, ResultCode.PeerUnreachable);
 });
 
-test('a drain of another node starts its planned stop and not that of the asked one', async () => {
-  const { commands, asked, other } = await createPair();
+test('a drain of another node starts the planned stop of that node only', async () => {
+  const { commands, receiver, other } = await createPair();
   assert.equal((await commands.drainNode('b1')).unwrapOr(''), 'b1');
-  assert.deepEqual([asked.stops.count, other.stops.count], [0, 1]);
+  assert.deepEqual([receiver.stops.count, other.stops.count], [0, 1]);
 });
 
-const FOREIGN: readonly unknown[] = [
+const MALFORMED: readonly unknown[] = [
   { target: 5, drained: true },
   { target: 'guide-2' },
   { target: 'x', drained: true, more: 1 },
   'text',
 ];
-for (const body of FOREIGN) {
-  test(`a foreign message is refused: ${JSON.stringify(body)}`, async () => {
-    const { asked, drained } = await createPair();
-    const reply = await asked.node.peers?.call('b1', 'drainTarget', body as never, {
+for (const body of MALFORMED) {
+  test(`a malformed message is rejected: ${JSON.stringify(body)}`, async () => {
+    const { receiver, drained } = await createPair();
+    const reply = await receiver.node.peers?.call('b1', 'drainTarget', body as never, {
       timeoutMs: 1,
     });
     assert.equal(reply?.isErr === true && reply.error.code, ResultCode.FrameMalformed);
--- a/src/admin/drain-commands.ts
+++ b/src/admin/drain-commands.ts
@@ -1,4 +1,3 @@
-/** Operators' drain commands: carried out here or passed on to the node concerned. */
 import { Result, Unit } from 'true-myth';
 import { z } from 'zod';
 import { validateValue } from '../config/validate-value.js';
@@ -9,7 +8,7 @@
 import type { AdminNode } from './admin-node.js';
 import type { DrainTargetMessage } from './admin-messages.js';
 
-/** Time limit of a command on its way to another node, in milliseconds. */
+/** Time limit for forwarding a command to another node. */
 const FORWARD_TIMEOUT_MS = 2_000;
 
 const drainTargetSchema = z.strictObject({
@@ -18,16 +17,16 @@
 });
 const emptySchema = z.strictObject({});
 
-/** See the module comment. */
+/** Runs operators' drain commands on this node or forwards them to the node that they concern. */
 export class DrainCommands {
   constructor(private readonly node: AdminNode) {}
 
-  /** Answers commands that other nodes pass on. */
+  /** Handles commands that other nodes forward. */
   registerHandlers(): void {
     this.node.peers?.handle(
       'drainTarget',
       (body) => validateValue(body, drainTargetSchema, ResultCode.FrameMalformed),
-      (_from, message) => Promise.resolve(Result.ok({ applied: this.drainHere(message) })),
+      (_from, message) => Promise.resolve(Result.ok({ applied: this.drainLocally(message) })),
     );
     this.node.peers?.handle(
       'drainNode',
@@ -43,7 +42,7 @@
    * Starts or ends the drain of a target.
    *
    * Failures: `InvalidArgument` (no such target in the rules in force), `PeerUnreachable` (no node
-   * that fronts the target took the command; it can be repeated).
+   * that fronts the target accepted the command; it can be retried).
    */
   async drainTarget(message: DrainTargetMessage): Promise<Result<Unit, Failure>> {
     const located = this.node.configStore?.findTarget(message.target);
@@ -52,8 +51,8 @@
       return Result.err(createFailure(ResultCode.InvalidArgument, detail));
     }
     const fronting = selectFrontingNode(located.target, this.node.membership?.members() ?? []);
-    if (await this.drainAt(fronting, message)) return Result.ok(Unit);
-    const detail = `no node that fronts target ${message.target} took the command`;
+    if (await this.drainOnNode(fronting, message)) return Result.ok(Unit);
+    const detail = `no node that fronts target ${message.target} accepted the command`;
     return Result.err(createFailure(ResultCode.PeerUnreachable, detail));
   }
 
@@ -61,7 +60,7 @@
    * Starts the planned stop of a node.
    *
    * @param nodeId empty for this node
-   * @returns the node's name, or `PeerUnreachable`, `PeerLost`, `PeerTimeout`
+   * @returns the node's id, or `PeerUnreachable`, `PeerLost`, `PeerTimeout`
    */
   async drainNode(nodeId: string): Promise<Result<string, Failure>> {
     const self = this.node.settings.node.id;
@@ -78,17 +77,17 @@
     return reply.map(() => nodeId);
   }
 
-  private drainHere({ target, drained }: DrainTargetMessage): boolean {
+  private drainLocally({ target, drained }: DrainTargetMessage): boolean {
     return this.node.targets?.drainTarget(target, drained) ?? false;
   }
 
-  /** Sends the command to the node that fronts the target; false when it did not take it. */
-  private async drainAt(
+  /** Runs the command on the node that fronts the target; false when it was not accepted. */
+  private async drainOnNode(
     fronting: Member | undefined,
     message: DrainTargetMessage,
   ): Promise<boolean> {
     if (fronting === undefined) return false;
-    if (fronting.nodeId === this.node.settings.node.id) return this.drainHere(message);
+    if (fronting.nodeId === this.node.settings.node.id) return this.drainLocally(message);
     const reply = await this.node.peers?.call(fronting.nodeId, 'drainTarget', message, {
       timeoutMs: FORWARD_TIMEOUT_MS,
     });
--- a/src/admin/in-force.test.ts
+++ b/src/admin/in-force.test.ts
@@ -33,6 +33,6 @@
   );
 });
 
-test('without members nothing is claimed', () => {
+test('without members the result is empty', () => {
   assert.deepEqual(computeInForce(1, []), { zones: [], nodes: [] });
 });
--- a/src/admin/in-force.ts
+++ b/src/admin/in-force.ts
@@ -1,17 +1,17 @@
-/** Where a revision is in force, worked out from what membership carries. */
+/** Computes where a revision is in force from the versions that the members report. */
 import type { Member } from '../membership/membership.js';
 
-/** One zone's share of {@link InForce}. */
+/** In how many nodes of one zone a revision is in force. */
 export interface ZoneInForce {
   readonly zone: string;
-  /** Ready nodes; the others serve nobody and do not count. */
+  /** Ready nodes; the others serve no callers and do not count. */
   readonly nodes: number;
   readonly nodesInForce: number;
-  /** Lowest version over the ready nodes; 0 when the zone has none. */
+  /** Lowest version of the ready nodes; 0 when the zone has none. */
   readonly lowestVersion: number;
 }
 
-/** One ready node's share of {@link InForce}. */
+/** Whether a revision is in force at one ready node. */
 export interface NodeInForce {
   readonly node: string;
   readonly zone: string;
@@ -19,17 +19,17 @@
   readonly inForce: boolean;
 }
 
-/** A revision's spread. */
+/** Where a revision is in force, by zone and by node. */
 export interface InForce {
   readonly zones: readonly ZoneInForce[];
   readonly nodes: readonly NodeInForce[];
 }
 
 /**
- * Compares each member's version with a revision's. A node takes revisions in by version, so
- * that one with an equal or higher version has this revision or a newer one of its tenant.
+ * Compares each member's version with a revision's. Nodes apply revisions in order of version, so
+ * a node with an equal or higher version has this revision or a newer one of its tenant.
  *
- * @param version the revision's place in the order of all changes
+ * @param version the revision's position in the order of all tenants' changes
  */
 export function computeInForce(version: number, members: readonly Member[]): InForce {
   const nodes = members
--- a/src/admin/node-status.ts
+++ b/src/admin/node-status.ts
@@ -1,4 +1,4 @@
-/** The status of a node, its view of the fleet, and the targets of the rules in force. */
+/** Status of a node, of the members that it sees, and of the targets of the rules in force. */
 import type { MessageInitShape } from '@bufbuild/protobuf';
 import type { Gauge } from 'prom-client';
 import type { RevisionRecord } from '../config/config-store.js';
@@ -17,22 +17,22 @@
 import { includesTenant } from './authorization.js';
 import { toRevision } from './revision-codec.js';
 
-/** What the targets of all tenants are described from. */
+/** Data from which the status of each target is built. */
 interface TargetSource {
   readonly self: string;
   readonly placement: Placement;
   readonly leaving: ReadonlySet<string>;
-  /** The figures of this node's targets, by target id. */
+  /** Metrics of the targets that this node fronts or has fronted, by target id. */
   readonly limit: ReadonlyMap<string, number>;
   readonly inFlight: ReadonlyMap<string, number>;
   readonly queued: ReadonlyMap<string, number>;
 }
 
 /**
- * Collects the status. A token that does not stand for all tenants gets this node, and of the
- * rest only what is its tenants'.
+ * Collects the status. A token that does not cover all tenants gets this node's status and its own
+ * tenants' targets and revisions, but no members.
  *
- * @param startedAt the node's start on its clock, in milliseconds
+ * @param startedAt time of the node's start on its clock, in milliseconds
  */
 export async function collectStatus(
   node: AdminNode,
@@ -108,7 +108,7 @@
   );
 }
 
-/** Figures of a target that this node fronted before are out of date and left out. */
+/** Leaves out the metrics of a target that this node no longer fronts: they are out of date. */
 function describeLoad(
   target: TargetRules,
   { self, placement, limit, inFlight, queued }: TargetSource,
--- a/src/admin/problem-document.ts
+++ b/src/admin/problem-document.ts
@@ -1,20 +1,18 @@
-/** Problem documents (RFC 9457) of the administration port outside of its remote calls. */
+/** Problem documents (RFC 9457) for requests to the admin port that are not remote calls. */
 import type { Response } from 'express';
 import type { Failure } from '../core/failure.js';
 import { describeResultCode } from '../core/result-code.js';
 import { RESULT_HEADER } from './connect-error.js';
 
-/** Media type of a problem document. */
 export const PROBLEM_MEDIA_TYPE = 'application/problem+json';
 
-/** The problem document of a failure. */
 export function toProblemDocument(failure: Failure): Record<string, unknown> {
   const { title, httpStatus } = describeResultCode(failure.code);
   const { code, detail, execution } = failure;
   return { type: 'about:blank', title, status: httpStatus, code, detail, execution };
 }
 
-/** Answers a request with a problem document. */
+/** Responds to a request with a problem document. */
 export function sendProblem(response: Response, failure: Failure): void {
   const document = toProblemDocument(failure);
   response
@@ -24,7 +22,7 @@
     .send(JSON.stringify(document));
 }
 
-/** The whole HTTP/1.1 answer to bytes that are no HTTP request. */
+/** Formats a complete HTTP/1.1 response to bytes that are not a valid HTTP request. */
 export function formatRawProblem(failure: Failure): string {
   const body = JSON.stringify(toProblemDocument(failure));
   const { httpStatus } = describeResultCode(failure.code);
--- a/src/admin/revision-watch.test.ts
+++ b/src/admin/revision-watch.test.ts
@@ -14,7 +14,7 @@
   return { tenant, revision, version, operationId, author: 'ana', acceptedAtMs: 0, rules };
 }
 
-/** Reads `count` records; `react` runs after each. */
+/** Reads up to `count` records; calls `react` after each. */
 async function read(
   records: AsyncGenerator<RevisionRecord>,
   count: number,
@@ -42,7 +42,7 @@
   assert.deepEqual(seen, ['a@1', 'b@1', 'b@2', 'a@2']);
 });
 
-test('a change that comes while the reader is busy is not lost', async () => {
+test('a change while the reader is busy is not lost', async () => {
   const store = new InMemoryConfigStore();
   store.offer(createRecord('a', 1, 1));
   const records = watchRevisions(store, 'a', new AbortController().signal);
@@ -54,7 +54,7 @@
   assert.deepEqual(seen, ['a@1', 'a@3']);
 });
 
-test('one tenant is told apart, and abort ends the stream', async () => {
+test('a watch of one tenant skips the others, and abort ends the stream', async () => {
   const store = new InMemoryConfigStore();
   store.offer(createRecord('a', 1, 1));
   store.offer(createRecord('b', 1, 2));
--- a/src/admin/revision-watch.ts
+++ b/src/admin/revision-watch.ts
@@ -1,9 +1,8 @@
-/** Streams of the revisions that come into force at this node. */
 import type { ConfigStore, RevisionRecord } from '../config/config-store.js';
 
 /**
- * Yields the revision in force of each tenant, then each newer one. A slow reader misses
- * revisions that were replaced meanwhile, never the newest.
+ * Yields each tenant's revision in force at this node, then each newer one. A slow reader skips
+ * revisions that have already been replaced, but always gets the newest.
  *
  * @param tenant absent for all tenants
  * @param signal ends the stream
