--- a/src/cli/admin-client.ts
+++ b/src/cli/admin-client.ts
@@ -1,21 +1,20 @@
-/** The generated client of the operators' interface over HTTP/1.1. */
 import { createClient, type Client, type Interceptor } from '@connectrpc/connect';
 import { createConnectTransport } from '@connectrpc/connect-node';
 import { AdminService } from '../gen/sillshore/admin/v1/admin_pb.js';
 
-/** Client of the operators' interface. */
+/** Generated client of the admin API. */
 export type AdminClient = Client<typeof AdminService>;
 
-/** Where a node's operators' interface is, and how to be let in. */
+/** Address of a node's admin API and the token for it. */
 export interface AdminEndpoint {
-  /** `http://host:port`; the scheme may be absent. */
+  /** `http://host:port` or `https://host:port`; without a scheme http is used. */
   readonly url: string;
   readonly token: string;
   /** Time limit of one call in milliseconds; streams have none. */
   readonly timeoutMs: number;
 }
 
-/** Creates a client; the first call connects. */
+/** Creates a client over HTTP/1.1, which connects on its first call. */
 export function createAdminClient({ url, token, timeoutMs }: AdminEndpoint): AdminClient {
   const authorize: Interceptor = (next) => (request) => {
     request.header.set('authorization', `Bearer ${token}`);
--- a/src/cli/command.ts
+++ b/src/cli/command.ts
@@ -1,23 +1,23 @@
 /**
- * Base of every command. A command does its work in `run` and returns an exit code;
- * failures are values and are printed in one form.
+ * Base class of the commands. A command does its work in `run` and returns an exit code; failures
+ * are values, which `fail` prints.
  *
- * Convention: each area exports its command classes as `commands` from
- * `src/<area>/commands.ts` (stand-ins: `src/stand-ins/<name>/commands.ts`), and
- * src/cli/registered-commands.ts lists the areas. A command's module imports what it runs
- * lazily (`await import`), so that the start of one command does not load the others.
+ * Convention: a folder outside src/cli exports its command classes as `commands` from
+ * `src/<folder>/commands.ts` (stand-ins: `src/stand-ins/<name>/commands.ts`), and
+ * src/cli/registered-commands.ts lists them. A command's module imports what it runs lazily
+ * (`await import`), so that starting one command does not load the code of the others.
  */
 import { Command } from 'clipanion';
 import type { Failure } from '../core/failure.js';
 import { describeResultCode } from '../core/result-code.js';
 import { ExitCode, exitCodeOf } from './exit-code.js';
 
-/** A command class as clipanion registers it. */
+/** A command class that clipanion can register. */
 export type CommandClass = new () => Command;
 
 /** A command of the `sillshore` program. */
 export abstract class SillshoreCommand extends Command {
-  /** Does the work; throws only for defects. */
+  /** Runs the command; throws only for defects. */
   protected abstract run(): Promise<ExitCode>;
 
   override async execute(): Promise<number> {
--- a/src/cli/config-apply-command.ts
+++ b/src/cli/config-apply-command.ts
@@ -12,15 +12,20 @@
 import type { AdminClient } from './admin-client.js';
 import { ExitCode } from './exit-code.js';
 import { formatZones, revisionJson } from './format-revision.js';
-import { callAdmin, CONNECTION_HELP, isUncertain, OperatorCommand } from './operator-command.js';
+import {
+  callAdmin,
+  CONNECTION_HELP,
+  isOutcomeUnknown,
+  OperatorCommand,
+} from './operator-command.js';
 import { readTextFile } from './settings-source.js';
 import { isWholeNumber } from './validators.js';
 
-/** Calls that settle one change at most: the first and its repeats. */
+/** Maximum calls for one change: the first and its retries. */
 const MAX_CALLS = 4;
-const DEFAULT_RETRY_MS = 500;
-const POLL_MS = 200;
-const MAX_OPERATION_LENGTH = 128;
+const DEFAULT_RETRY_DELAY_MS = 500;
+const POLL_INTERVAL_MS = 200;
+const MAX_OPERATION_ID_LENGTH = 128;
 
 const tenantSchema = z.looseObject({ tenant: z.string() });
 
@@ -69,7 +74,8 @@
     if (this.check) return await this.validate(client, tenant.value, document.value);
     if (this.expect === undefined) return this.refuseUsage('--expect is needed');
     const operationId = this.operation ?? randomUUID();
-    if (operationId.length > MAX_OPERATION_LENGTH) return this.refuseUsage('--operation too long');
+    if (operationId.length > MAX_OPERATION_ID_LENGTH)
+      return this.refuseUsage('--operation too long');
     const applied = await this.apply(client, {
       tenant: tenant.value,
       document: document.value,
@@ -102,8 +108,8 @@
   ): Promise<Result<ApplyRulesResponse, ApplyFailure>> {
     let applied = await callAdmin(client.applyRules(request));
     for (let call = 2; call <= MAX_CALLS && applied.isErr; call += 1) {
-      if (!isUncertain(applied.error)) return applied;
-      await delay(applied.error.retryAfterMs ?? DEFAULT_RETRY_MS);
+      if (!isOutcomeUnknown(applied.error)) return applied;
+      await delay(applied.error.retryAfterMs ?? DEFAULT_RETRY_DELAY_MS);
       applied = await callAdmin(client.applyRules(request));
     }
     return applied;
@@ -114,8 +120,10 @@
     if (failure.currentRevision !== undefined) {
       this.context.stderr.write(`  current revision: ${failure.currentRevision}\n`);
     }
-    if (isUncertain(failure)) {
-      this.context.stderr.write(`  repeat with --operation ${operationId} to settle it\n`);
+    if (isOutcomeUnknown(failure)) {
+      this.context.stderr.write(
+        `  repeat with --operation ${operationId}; the change is never applied twice\n`,
+      );
     }
     return exitCode;
   }
@@ -130,11 +138,13 @@
       this.print(`accepted: tenant ${tenant} revision ${revision.revision}`);
     }
     const { waitMs } = this;
-    const spread =
-      waitMs === undefined ? undefined : await poll(client, tenant, revision.version, waitMs);
-    if (this.json) this.printJson({ ...revisionJson(revision), ...spread?.json });
-    else if (spread !== undefined) this.print(spread.table);
-    return spread === undefined || spread.everywhere ? ExitCode.Ok : ExitCode.Unavailable;
+    const inForce =
+      waitMs === undefined
+        ? undefined
+        : await pollInForce(client, tenant, revision.version, waitMs);
+    if (this.json) this.printJson({ ...revisionJson(revision), ...inForce?.json });
+    else if (inForce !== undefined) this.print(inForce.table);
+    return inForce === undefined || inForce.everywhere ? ExitCode.Ok : ExitCode.Unavailable;
   }
 
   private refuseUsage(message: string): ExitCode {
@@ -143,35 +153,35 @@
   }
 }
 
-interface Spread {
+interface InForceReport {
   readonly everywhere: boolean;
   readonly table: string;
   readonly json: object;
 }
 
-/** Asks again and again until the version is in force at all nodes that the asked one sees. */
-async function poll(
+/** Polls until the version is in force at all nodes that the polled one sees, or the time is up. */
+async function pollInForce(
   client: AdminClient,
   tenant: string,
   version: bigint,
   waitMs: number,
-): Promise<Spread> {
+): Promise<InForceReport> {
   const end = performance.now() + waitMs;
   let last: GetInForceResponse | undefined;
   do {
-    const asked = await callAdmin(client.getInForce({ tenant }));
-    if (asked.isOk) last = asked.value;
+    const polled = await callAdmin(client.getInForce({ tenant }));
+    if (polled.isOk) last = polled.value;
     if (last !== undefined && isEverywhere(last, version)) break;
-    await delay(POLL_MS);
+    await delay(POLL_INTERVAL_MS);
   } while (performance.now() < end);
-  return describe(last, version);
+  return toInForceReport(last, version);
 }
 
 function isEverywhere({ zones, nodes }: GetInForceResponse, version: bigint): boolean {
   return zones.length > 0 && nodes.every((node) => node.version >= version);
 }
 
-function describe(last: GetInForceResponse | undefined, version: bigint): Spread {
+function toInForceReport(last: GetInForceResponse | undefined, version: bigint): InForceReport {
   if (last === undefined) return { everywhere: false, table: 'not in force yet', json: {} };
   const everywhere = isEverywhere(last, version);
   const zones = last.zones.map(({ zone, nodes, nodesInForce }) => ({ zone, nodes, nodesInForce }));
--- a/src/cli/config-read-commands.ts
+++ b/src/cli/config-read-commands.ts
@@ -18,7 +18,7 @@
 import { isWholeNumber } from './validators.js';
 
 const CATEGORY = 'Configuration';
-const DEFAULT_HISTORY = 20;
+const DEFAULT_HISTORY_LIMIT = 20;
 const EMIT_ALL = { alwaysEmitImplicit: true } as const;
 
 /** Prints a tenant's rules. */
@@ -63,8 +63,8 @@
   });
 
   tenant = Option.String('--tenant', { required: true, description: 'Tenant' });
-  limit = Option.String('--limit', String(DEFAULT_HISTORY), {
-    description: `Revisions at most, 1 to 100, by default ${DEFAULT_HISTORY}`,
+  limit = Option.String('--limit', String(DEFAULT_HISTORY_LIMIT), {
+    description: `Revisions at most, 1 to 100, by default ${DEFAULT_HISTORY_LIMIT}`,
     validator: isWholeNumber(1),
   });
   json = Option.Boolean('--json', false, { description: 'Print JSON' });
--- a/src/cli/drain-commands.ts
+++ b/src/cli/drain-commands.ts
@@ -59,5 +59,4 @@
   }
 }
 
-/** Commands of this module. */
 export const drainCommands = [DrainTargetCommand, DrainNodeCommand];
--- a/src/cli/early-signals.test.ts
+++ b/src/cli/early-signals.test.ts
@@ -5,7 +5,7 @@
 import { text } from 'node:stream/consumers';
 import { test } from 'node:test';
 
-test('a reload signal while the program is being loaded does not end it', async () => {
+test('SIGHUP does not end the program while it is being loaded', async () => {
   const module = new URL('./early-signals.js', import.meta.url).href;
   const script = `
     import '${module}';
@@ -18,7 +18,7 @@
   assert.equal(code, 0);
 });
 
-test('the program of the machines listens for it before anything else is loaded', () => {
+test('the sidecar program handles SIGHUP before it loads any other module', () => {
   const source = readFileSync('src/cli/sidecar-main.ts', 'utf8');
   const [first] = /^import .*$/m.exec(source) ?? [];
   assert.equal(first, "import './early-signals.js';");
--- a/src/cli/early-signals.ts
+++ b/src/cli/early-signals.ts
@@ -1,8 +1,8 @@
 /**
- * Imported before everything else of the program: a SIGHUP that comes while the rest is still being
- * loaded would end the process, since that is the system's default. The settings are read after it
- * anyway.
+ * Imported before all other modules of the sidecar program: by default a SIGHUP ends the process,
+ * also while the other modules are still being loaded. Such an early SIGHUP can be ignored, since
+ * the settings are read after it anyway.
  */
 process.on('SIGHUP', () => {
-  // The command that runs adds its own listener, which reads the settings again.
+  // The sidecar command adds its own listener, which reads the settings again.
 });
--- a/src/cli/exit-code.ts
+++ b/src/cli/exit-code.ts
@@ -1,19 +1,18 @@
-/** Exit codes of the command line; docs/CLI.md holds the same table. */
+/** Exit codes of the command line; docs/CLI.md has the same table. */
 import type { Failure } from '../core/failure.js';
 import { ResultCode } from '../core/result-code.js';
 
-/** What a finished command tells the shell. */
 export enum ExitCode {
   Ok = 0,
   /** The operation failed, or a node ended before its planned stop was complete. */
   OperationFailed = 1,
   /** Wrong usage, or an invalid settings, rules or scenario document. */
   InvalidInput = 2,
-  /** The node or the platform cannot be reached or does not serve now; try again. */
+  /** The node or the platform is unreachable or not serving at the moment; try again. */
   Unavailable = 3,
-  /** Somebody else changed the configuration first. */
+  /** Another change to the configuration came first. */
   Conflict = 4,
-  /** A run saw one of the system's guarantees broken. */
+  /** A run found that one of the system's guarantees was broken. */
   GuaranteeBroken = 5,
 }
 
--- a/src/cli/format-revision.ts
+++ b/src/cli/format-revision.ts
@@ -1,4 +1,4 @@
-/** Revisions and their spread as text and as JSON. */
+/** Formats revisions, and the zones where they are in force, for output. */
 import { toJson, type JsonValue } from '@bufbuild/protobuf';
 import {
   RevisionSchema,
@@ -7,7 +7,7 @@
 } from '../gen/sillshore/admin/v1/admin_pb.js';
 import { formatTable } from './table.js';
 
-/** A revision in the schema's JSON form (64-bit numbers are texts). */
+/** Converts a revision to the schema's JSON form, in which 64-bit numbers are strings. */
 export function revisionJson(revision: Revision): Record<string, JsonValue> {
   return toJson(RevisionSchema, revision, { alwaysEmitImplicit: true }) as Record<
     string,
@@ -15,7 +15,6 @@
   >;
 }
 
-/** A table of revisions. */
 export function formatRevisions(revisions: readonly Revision[]): string {
   return formatTable(
     ['REVISION', 'VERSION', 'ACCEPTED', 'AUTHOR', 'OPERATION'],
@@ -29,13 +28,13 @@
   );
 }
 
-/** One line of a watch. */
+/** Formats a revision as one line. */
 export function formatRevisionLine(revision: Revision): string {
   const { tenant, author, operationId } = revision;
   return `${tenant} revision ${revision.revision} version ${revision.version} by ${author} (${operationId})`;
 }
 
-/** A table of zones. */
+/** Formats a table of the zones where a revision is in force. */
 export function formatZones({ zones }: GetInForceResponse): string {
   return formatTable(
     ['ZONE', 'NODES', 'IN FORCE', 'LOWEST VERSION'],
--- a/src/cli/launch-sidecar.ts
+++ b/src/cli/launch-sidecar.ts
@@ -1,11 +1,11 @@
 /**
- * Starts the bundled program of the machines from its code cache, so that functions that a start and
- * a request need are not compiled again by each process. Without a usable cache the program is
- * compiled as usual. With `--write-code-cache FILE` before the command it writes the cache of all that
- * has run, at the end of the process.
+ * Starts the bundled sidecar program from its code cache, so that processes do not each compile the
+ * functions that the start and requests need. Without a usable cache the program is compiled as
+ * usual. With `--write-code-cache FILE` before the command, the process writes the cache of all
+ * functions that have run at its exit.
  *
- * One start took 400 to 520 ms of processor time in its main thread before and 200 to 217 ms with the
- * cache (two profiles each). What requests cost after it did not change by more than the spread.
+ * A start takes 400 to 520 ms of CPU time in its main thread without the cache and 200 to 217 ms
+ * with it (two profiles each). What requests cost afterwards differs by no more than the spread.
  */
 import './early-signals.js';
 import { readFileSync, writeFileSync } from 'node:fs';
@@ -18,7 +18,7 @@
 /** Number of the event `CodeCacheUnused`; its catalogue is part of the bundle. */
 const CODE_CACHE_UNUSED = 110;
 const WARN_LEVEL = 40;
-/** Where the arguments of the command begin. */
+/** Index in `process.argv` of the command's first argument. */
 const FIRST_ARGUMENT = 2;
 
 type ModuleFunction = (
@@ -29,7 +29,7 @@
   dirname: string,
 ) => void;
 
-/** Takes the option out of the arguments; undefined when the cache is to be used. */
+/** Removes the option from the arguments and returns its file; undefined when the cache is used. */
 function takeOutputFile(): string | undefined {
   if (process.argv[FIRST_ARGUMENT] !== WRITE_OPTION) return undefined;
   const [, file] = process.argv.splice(FIRST_ARGUMENT, 2);
@@ -52,13 +52,14 @@
 
 const outputFile = takeOutputFile();
 const cachedData = outputFile === undefined ? readCache() : undefined;
-// The bundle is ASCII; one byte a character is read and held twice as cheaply as UTF-8.
+// The bundle is ASCII; as Latin-1, one byte a character, it costs half of UTF-8 to read and hold.
 const source = readFileSync(BUNDLE, 'latin1');
 const script = new Script(
   `(function (exports, require, module, __filename, __dirname) {${source}\n})`,
   { filename: BUNDLE, ...(cachedData === undefined ? {} : { cachedData }) },
 );
-if (script.cachedDataRejected === true) report('made by another version or with other flags');
+if (script.cachedDataRejected === true)
+  report('the cache was made by another version or with other flags');
 if (outputFile !== undefined) {
   process.once('exit', () => {
     writeFileSync(outputFile, script.createCachedData());
--- a/src/cli/local-commands.test.ts
+++ b/src/cli/local-commands.test.ts
@@ -96,7 +96,7 @@
   });
 }
 
-test('config check --json prints the verdict', async () => {
+test('config check --json prints the result', async () => {
   const valid = await runCaptured(['config', 'check', inDirectory('rules.yaml'), '--json']);
   assert.deepEqual(JSON.parse(valid.stdout), { valid: true, tenant: 'roteiro-vivo', services: 1 });
   const invalid = await runCaptured(['config', 'check', inDirectory('broken.yaml'), '--json']);
@@ -131,7 +131,7 @@
   ['wrong level', ['--log-level', 'loud'], /log\.level: /],
 ];
 for (const [name, argv, message] of BAD_NODES) {
-  test(`node refuses settings: ${name}`, async () => {
+  test(`node rejects settings: ${name}`, async () => {
     const outcome = await runCaptured(['node', ...argv]);
     assert.equal(outcome.exitCode, ExitCode.InvalidInput);
     assert.match(outcome.stderr, message);
@@ -149,7 +149,7 @@
   ['SILLSHORE_PEER_TLS_CA', /peers\.tls/],
 ];
 for (const [variable, path] of SECRETS) {
-  test(`node takes ${variable} into its settings`, async () => {
+  test(`node reads ${variable} into its settings`, async () => {
     const argv = ['node', '--settings', inDirectory('node.yaml')];
     const outcome = await runCaptured(argv, { [variable]: 'x' });
     assert.equal(outcome.exitCode, ExitCode.InvalidInput);
@@ -213,7 +213,7 @@
   }
 });
 
-test('a table pads its columns and puts numbers right', () => {
+test('a table pads its columns and right-aligns numbers', () => {
   const table = formatTable(
     ['NAME', 'N'],
     [
--- a/src/cli/log-files.ts
+++ b/src/cli/log-files.ts
@@ -1,10 +1,9 @@
-/** Log lines from files, or from standard input when none is named. */
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
 import { parseLogLine, type LogLine } from '../logs/request-story.js';
 
-/** Reads the lines about requests; others are passed over. */
+/** Reads the log lines about requests from files, or from standard input when no file is named. */
 export async function readLogLines(
   files: readonly string[],
   standardInput: Readable,
--- a/src/cli/losses-command.ts
+++ b/src/cli/losses-command.ts
@@ -1,4 +1,4 @@
-/** `sillshore losses`: where requests were lost, from the logs of all nodes. */
+/** `sillshore losses`. */
 import { Command, Option } from 'clipanion';
 import { countLosses, sumLosses, type LossRow } from '../logs/losses.js';
 import { SillshoreCommand } from './command.js';
@@ -6,7 +6,7 @@
 import { readLogLines } from './log-files.js';
 import { formatTable } from './table.js';
 
-/** Prints how requests ended, by kind and cause. */
+/** Prints how the requests in the logs of all nodes ended, by kind and cause. */
 export class LossesCommand extends SillshoreCommand {
   static override paths = [['losses']];
   static override usage = Command.Usage({
@@ -47,5 +47,4 @@
   }
 }
 
-/** Commands of this module. */
 export const lossesCommands = [LossesCommand];
--- a/src/cli/node-command.ts
+++ b/src/cli/node-command.ts
@@ -1,4 +1,4 @@
-/** `sillshore node`: runs one node until it is told to stop. */
+/** `sillshore node`. */
 import { Command, Option } from 'clipanion';
 import { SillshoreCommand } from './command.js';
 import { ExitCode } from './exit-code.js';
@@ -6,7 +6,7 @@
 
 const integer = /^\d+$/;
 
-/** Runs a node. Flags stand above the environment, and that above the settings file. */
+/** Runs a node until a stop signal. Flags override the environment, which overrides the file. */
 export class NodeCommand extends SillshoreCommand {
   static override paths = [['node']];
   static override usage = Command.Usage({
@@ -51,7 +51,7 @@
     return end === 'stopped' ? ExitCode.Ok : ExitCode.OperationFailed;
   }
 
-  /** PEM texts, for machines without files. */
+  /** PEM texts from the environment, for machines without files. */
   private tlsOverrides(): SettingsOverride[] {
     const { env } = this.context;
     return [
@@ -90,7 +90,7 @@
   }
 }
 
-/** A text that is no whole number stays a text, so that the validation reports it. */
+/** Leaves a text that is not a whole number as it is, so that the validation reports it. */
 function parseInteger(text: string | undefined): number | string | undefined {
   return text !== undefined && integer.test(text) ? Number(text) : text;
 }
@@ -99,5 +99,4 @@
   return text === undefined ? undefined : [text];
 }
 
-/** Commands of this module. */
 export const nodeCommands = [NodeCommand];
--- a/src/cli/operator-command.ts
+++ b/src/cli/operator-command.ts
@@ -1,4 +1,4 @@
-/** Base of the commands that talk to a node's operators' interface. */
+/** Base class of the commands that call a node's admin API. */
 import { Option } from 'clipanion';
 import { Result } from 'true-myth';
 import type { ApplyFailure } from '../config/rules-repository.js';
@@ -12,11 +12,11 @@
 
 const DEFAULT_TIMEOUT_MS = 10_000;
 
-/** Sentence on the connection for the commands' help. */
+/** Part of the commands' help: how a command finds its node and its token. */
 export const CONNECTION_HELP =
   'The node is found by `--admin` or SILLSHORE_ADMIN, the token by `--token` or SILLSHORE_TOKEN.';
 
-/** A command of operators; `operate` runs with a client. */
+/** Connects to the node of the options or the environment and runs `operate` with the client. */
 export abstract class OperatorCommand extends SillshoreCommand {
   admin = Option.String('--admin', {
     description: "Address of a node's operators' interface, as 127.0.0.1:9000",
@@ -44,17 +44,15 @@
     return await this.operate(await this.connect(admin, token));
   }
 
-  /** Does the command's work. */
   protected abstract operate(client: AdminClient): Promise<ExitCode>;
 
-  /** Creates a client for a node's operators' interface. */
   protected async connect(url: string, token: string): Promise<AdminClient> {
     const { createAdminClient } = await import('./admin-client.js');
     return createAdminClient({ url, token, timeoutMs: this.timeoutMs });
   }
 }
 
-/** Awaits a call of the client; its errors become failures. */
+/** Awaits a call of the client and converts its errors to failures. */
 export async function callAdmin<T>(call: Promise<T>): Promise<Result<T, ApplyFailure>> {
   try {
     return Result.ok<T, ApplyFailure>(await call);
@@ -64,7 +62,7 @@
   }
 }
 
-/** Whether a repeat of a change settles what became of it. */
-export function isUncertain(failure: Failure): boolean {
+/** Whether a change's outcome is unknown and a retry under its operation id can resolve it. */
+export function isOutcomeUnknown(failure: Failure): boolean {
   return failure.execution === 'unknown' && failure.code !== ResultCode.Internal;
 }
--- a/src/cli/operator-commands.test.ts
+++ b/src/cli/operator-commands.test.ts
@@ -55,7 +55,7 @@
   return operate('config', 'apply', rules, ...argv);
 }
 
-test('apply takes the file up and says which revision it became', async () => {
+test('apply accepts the file and prints its revision', async () => {
   const outcome = await apply('--expect', '0');
   assert.deepEqual(outcome, {
     exitCode: ExitCode.Ok,
@@ -77,7 +77,7 @@
   assert.deepEqual(JSON.parse(outcome.stdout), revision);
 });
 
-test('apply settles a lost answer by a repeat under the same operation id', async () => {
+test('apply retries after a lost response, under the same operation id', async () => {
   const failure = createFailure(ResultCode.WriteOutcomeUnknown, 'lost', { retryAfterMs: 1 });
   admin.repository.failures.push({ failure, applied: true }, { failure, applied: false });
   const outcome = await apply('--expect', '0');
@@ -86,7 +86,7 @@
   assert.equal(admin.repository.revisions.length, 1);
 });
 
-test('apply gives up on an outcome that stays unknown and says how to settle it', async () => {
+test('apply gives up when the outcome stays unknown and says how to repeat it', async () => {
   const failure = createFailure(ResultCode.WriteOutcomeUnknown, 'lost', { retryAfterMs: 1 });
   for (let call = 0; call < 4; call += 1)
     admin.repository.failures.push({ failure, applied: false });
@@ -96,7 +96,7 @@
   assert.equal(admin.repository.applies, 4);
 });
 
-test('apply does not repeat a change that was refused', async () => {
+test('apply does not retry a change that was rejected', async () => {
   const failure = createFailure(ResultCode.PlatformUnavailable, 'down', { retryAfterMs: 700 });
   admin.repository.failures.push({ failure, applied: false });
   const outcome = await apply('--expect', '0');
@@ -129,7 +129,7 @@
   assert.equal(admin.repository.revisions.length, 0);
 });
 
-test('get prints rules that apply takes again', async () => {
+test('apply accepts the rules that get prints', async () => {
   await apply('--expect', '0');
   const outcome = await operate('config', 'get', ...TENANT);
   assert.equal(outcome.exitCode, ExitCode.Ok);
@@ -180,7 +180,7 @@
   assert.equal(printed.targets.length, 2);
 });
 
-test('status --all asks the other members and names those that do not answer', async () => {
+test('status --all queries the other members and names those that do not respond', async () => {
   const other = await startTestAdmin();
   const adminAddress = `127.0.0.1:${other.port}`;
   admin.membership.others = [
@@ -194,7 +194,7 @@
   assert.match(outcome.stderr, /^c1: .*ECONNREFUSED/);
 });
 
-test('drain reaches the target side and the node', async () => {
+test('drain reaches the targets of the node and its kernel', async () => {
   await apply('--expect', '0');
   assert.equal((await operate('drain', 'target', 'guide-1')).exitCode, ExitCode.Ok);
   assert.equal((await operate('drain', 'target', 'guide-1', '--resume')).exitCode, ExitCode.Ok);
@@ -219,19 +219,19 @@
     message: /^error 5006: /,
   },
   {
-    name: 'nobody listens',
+    name: 'connection refused',
     argv: ['status', '--admin', '127.0.0.1:1'],
     exitCode: ExitCode.Unavailable,
     message: /^error 5008: .*ECONNREFUSED/,
   },
   {
-    name: 'address that is none',
+    name: 'invalid address',
     argv: ['status', '--admin', 'nonsense'],
     exitCode: ExitCode.InvalidInput,
     message: /expected an address and port/,
   },
   {
-    name: 'time limit that is none',
+    name: 'invalid time limit',
     argv: ['status', '--timeout-ms', '0'],
     exitCode: ExitCode.InvalidInput,
     message: /--timeout-ms/,
@@ -243,7 +243,7 @@
     message: /^error 4005: /,
   },
   {
-    name: 'tenant name that is none',
+    name: 'invalid tenant name',
     argv: ['config', 'get', '--tenant', 'No Body'],
     exitCode: ExitCode.InvalidInput,
     message: /^error 4010: /,
@@ -255,7 +255,7 @@
     message: /--tenant/,
   },
   {
-    name: 'revision that is none',
+    name: 'invalid revision',
     argv: ['config', 'get', ...TENANT, '--revision', '1.5'],
     exitCode: ExitCode.InvalidInput,
     message: /--revision/,
--- a/src/cli/registered-commands.ts
+++ b/src/cli/registered-commands.ts
@@ -1,4 +1,3 @@
-/** The areas that bring commands; see the convention in command.ts. */
 import { Builtins } from 'clipanion';
 import { commands as experimentCommands } from '../emulator/commands.js';
 import { commands as backendCommands } from '../stand-ins/backend/commands.js';
@@ -24,7 +23,7 @@
 import { statusCommands } from './status-command.js';
 import { versionCommands } from './version-command.js';
 
-/** Every command of the program. */
+/** Every command of the program; command.ts describes where commands are declared. */
 export const registeredCommands: readonly CommandClass[] = [
   Builtins.HelpCommand,
   ...nodeCommands,
--- a/src/cli/run-command-line.ts
+++ b/src/cli/run-command-line.ts
@@ -1,10 +1,10 @@
-/** Runs one command line in this process; main.ts and the tests call it. */
+/** Runs a command line in this process, for main.ts and the tests. */
 import { Cli, type BaseContext, type Command } from 'clipanion';
 import { ExitCode } from './exit-code.js';
 import { registeredCommands } from './registered-commands.js';
 import { readVersion } from '../node/version.js';
 
-/** Streams and environment of a command line; the process's own where absent. */
+/** Streams and environment of a command line; absent ones are those of the process. */
 export type CommandLineContext = Partial<BaseContext>;
 
 function createCli(): Cli {
@@ -21,7 +21,7 @@
  * Parses and runs a command line.
  *
  * @param argv arguments after the program's name
- * @returns the exit code; wrong usage is `ExitCode.InvalidInput`
+ * @returns the exit code; `ExitCode.InvalidInput` on wrong usage
  */
 export async function runCommandLine(
   argv: string[],
--- a/src/cli/settings-source.ts
+++ b/src/cli/settings-source.ts
@@ -1,4 +1,4 @@
-/** Puts a node's settings together from a file, flags and the environment. */
+/** Loads a node's settings from a file, flags and the environment. */
 import { readFile } from 'node:fs/promises';
 import { Result } from 'true-myth';
 import { z } from 'zod';
@@ -7,7 +7,7 @@
 import { createFailure, type Failure } from '../core/failure.js';
 import { ResultCode } from '../core/result-code.js';
 
-/** One value that stands above the file's; `path` is that of the settings document. */
+/** A value that overrides the file's; `path` is its path in the settings document. */
 export interface SettingsOverride {
   readonly path: readonly [string, ...string[]];
   readonly value: unknown;
@@ -16,7 +16,7 @@
 const sectionSchema = z.record(z.string(), z.unknown());
 type Section = Record<string, unknown>;
 
-/** Reads a text file; a failure carries `code`. */
+/** Reads a text file; a failure has the result code `code`. */
 export async function readTextFile(
   path: string,
   code: ResultCode,
@@ -29,10 +29,10 @@
 }
 
 /**
- * Reads settings.
+ * Loads and validates settings.
  *
- * @param file path of a YAML or JSON document; absent starts from an empty one
- * @param overrides values of flags; those that are `undefined` are passed over
+ * @param file path of a YAML or JSON document; without it an empty document is used
+ * @param overrides values of flags and the environment; `undefined` values are ignored
  * @returns validated settings, or `SettingsInvalid` with every violation
  */
 export async function loadSettings(
@@ -60,7 +60,7 @@
   if (head === undefined) return base;
   if (rest.length === 0) return { ...base, [head]: value };
   const child = sectionSchema.safeParse(base[head] ?? {});
-  // A section that is no mapping stays as it is, so that the validation reports it.
+  // A section that is not a mapping stays as it is, so that the validation reports it.
   if (!child.success) return base;
   return { ...base, [head]: setPath(child.data, rest, value) };
 }
--- a/src/cli/sidecar-command.ts
+++ b/src/cli/sidecar-command.ts
@@ -1,4 +1,4 @@
-/** `sillshore sidecar`: runs the node beside one target until it is told to stop. */
+/** `sillshore sidecar`. */
 import { readFile, stat } from 'node:fs/promises';
 import { Command, Option } from 'clipanion';
 import { Result } from 'true-myth';
@@ -8,7 +8,7 @@
 import { SillshoreCommand } from './command.js';
 import { ExitCode } from './exit-code.js';
 
-/** Runs a sidecar. */
+/** Runs a target's sidecar until a stop signal. */
 export class SidecarCommand extends SillshoreCommand {
   static override paths = [['sidecar']];
   static override usage = Command.Usage({
@@ -37,7 +37,7 @@
     const { SidecarToken } = await import('../sidecar/plugins/tokens.js');
     const source = {
       read: () => readSettings(this.settings),
-      stamp: () => readStamp(this.settings),
+      stamp: () => readModificationTime(this.settings),
     };
     const kernel = createSidecar(settings.value, platformAdapter, { source });
     const current = kernel.container.get(SidecarToken.CurrentSettings);
@@ -58,8 +58,8 @@
   }
 }
 
-/** Time of the file's last change; empty when it cannot be told. */
-async function readStamp(path: string): Promise<string> {
+/** Returns the time of the file's last change; empty when it cannot be read. */
+async function readModificationTime(path: string): Promise<string> {
   try {
     return String((await stat(path)).mtimeMs);
   } catch {
@@ -67,5 +67,4 @@
   }
 }
 
-/** Commands of this module. */
 export const sidecarCommands = [SidecarCommand];
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -13,7 +13,7 @@
 import { callAdmin, CONNECTION_HELP, OperatorCommand } from './operator-command.js';
 import { formatTable } from './table.js';
 
-/** Shows a node, its view of the fleet, and the targets. */
+/** Shows a node, the members that it sees, and the targets. */
 export class StatusCommand extends OperatorCommand {
   static override paths = [['status']];
   static override usage = Command.Usage({
@@ -37,18 +37,18 @@
   protected async operate(client: AdminClient): Promise<ExitCode> {
     const answer = await callAdmin(client.getStatus({}));
     if (answer.isErr) return this.fail(answer.error);
-    const asked = this.all ? await this.askMembers(answer.value) : [answer.value];
-    if (this.json) this.printAsJson(asked);
-    else this.printTables(answer.value, asked);
+    const statuses = this.all ? await this.queryMembers(answer.value) : [answer.value];
+    if (this.json) this.printAsJson(statuses);
+    else this.printTables(answer.value, statuses);
     return ExitCode.Ok;
   }
 
-  /** The first node's answer and those of the other members that answer. */
-  private async askMembers(first: GetStatusResponse): Promise<GetStatusResponse[]> {
-    // The token travels as the operator asked for it with the first node.
+  /** Returns the first node's status and those of the other members that respond. */
+  private async queryMembers(first: GetStatusResponse): Promise<GetStatusResponse[]> {
+    // The token is sent by the scheme that the operator chose for the first node.
     const scheme = this.admin?.startsWith('https:') === true ? 'https://' : 'http://';
     const others = first.members.filter(({ id }) => id !== first.node?.id);
-    const asked = await Promise.all(
+    const otherStatuses = await Promise.all(
       others.map(async ({ id, adminAddress }) => {
         const client = await this.connect(`${scheme}${adminAddress}`, this.token ?? '');
         const answer = await callAdmin(client.getStatus({}));
@@ -56,19 +56,19 @@
         return answer.isOk ? [answer.value] : [];
       }),
     );
-    return [first, ...asked.flat()];
+    return [first, ...otherStatuses.flat()];
   }
 
-  private printAsJson(asked: readonly GetStatusResponse[]): void {
-    const values = asked.map((status) =>
+  private printAsJson(statuses: readonly GetStatusResponse[]): void {
+    const values = statuses.map((status) =>
       toJson(GetStatusResponseSchema, status, { alwaysEmitImplicit: true }),
     );
     this.printJson(this.all ? { nodes: values } : values[0]);
   }
 
-  private printTables(first: GetStatusResponse, asked: readonly GetStatusResponse[]): void {
-    const nodes = asked.flatMap(({ node }) => (node === undefined ? [] : [node]));
-    const targets = asked.flatMap((status) => status.targets.filter(({ measured }) => measured));
+  private printTables(first: GetStatusResponse, statuses: readonly GetStatusResponse[]): void {
+    const nodes = statuses.flatMap(({ node }) => (node === undefined ? [] : [node]));
+    const targets = statuses.flatMap((status) => status.targets.filter(({ measured }) => measured));
     this.print(formatNodes(nodes));
     this.print(`\n${formatMembers(first.members)}`);
     this.print(`\n${formatTargets(targets)}`);
@@ -122,5 +122,4 @@
   );
 }
 
-/** Commands of this module. */
 export const statusCommands = [StatusCommand];
--- a/src/cli/story-command.ts
+++ b/src/cli/story-command.ts
@@ -1,11 +1,11 @@
-/** `sillshore story`: what the logs of several nodes say of one request, in order of cause. */
+/** `sillshore story`. */
 import { Command, Option } from 'clipanion';
 import { describeLine, storyOf } from '../logs/request-story.js';
 import { SillshoreCommand } from './command.js';
 import { ExitCode } from './exit-code.js';
 import { readLogLines } from './log-files.js';
 
-/** Prints the story of a request. */
+/** Prints the log lines of several nodes about one request and its calls, in causal order. */
 export class StoryCommand extends SillshoreCommand {
   static override paths = [['story']];
   static override usage = Command.Usage({
@@ -25,7 +25,7 @@
     const lines = await readLogLines(this.files, this.context.stdin);
     const story = storyOf(lines, this.id);
     if (story.length === 0) {
-      this.context.stderr.write(`no line about ${this.id}\n`);
+      this.context.stderr.write(`no log line about ${this.id}\n`);
       return ExitCode.OperationFailed;
     }
     for (const line of story) this.print(describeLine(line));
@@ -33,5 +33,4 @@
   }
 }
 
-/** Commands of this module. */
 export const storyCommands = [StoryCommand];
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -1,12 +1,14 @@
 /** Plain text tables for the command line, the demo and the benchmarks. */
 
-/** A cell of a table. */
 export type Cell = string | number | bigint | boolean;
 
-/** Texts that stand to the right like numbers: digits with sign, point and unit. */
+/** Right-aligned cells: digits with an optional sign, separators and percent sign. */
 const NUMERIC = /^[-+]?\d[\d.,]*%?$/;
 
-/** Formats rows below a header; columns are padded, columns of numbers stand right, with two decimals at most. */
+/**
+ * Formats rows below a header. Pads the columns, right-aligns columns of numbers, and rounds
+ * numbers to two decimals.
+ */
 export function formatTable(header: readonly string[], rows: readonly (readonly Cell[])[]): string {
   const body = rows.map((row) => row.map(formatCell));
   const texts = [header, ...body];
--- a/src/cli/validators.ts
+++ b/src/cli/validators.ts
@@ -1,9 +1,9 @@
-/** Typanion validators of option values; a wrong value ends the command with exit code 2. */
+/** Typanion validators of option values; an invalid value ends the command with exit code 2. */
 import * as t from 'typanion';
 
 const ADMIN_URL = /^(https?:\/\/)?([A-Za-z0-9.-]+|\[[0-9a-fA-F:]+\]):\d{1,5}\/?$/;
 
-/** A whole number from `least` on. */
+/** A whole number, `least` or higher. */
 export function isWholeNumber(least: number): t.StrictValidator<unknown, number> {
   return t.cascade(t.isNumber(), [t.isInteger(), t.isAtLeast(least)]);
 }
--- a/src/cli/version-command.ts
+++ b/src/cli/version-command.ts
@@ -4,7 +4,6 @@
 import { SillshoreCommand } from './command.js';
 import { ExitCode } from './exit-code.js';
 
-/** Prints the version. */
 export class VersionCommand extends SillshoreCommand {
   static override paths = [['version'], ['--version']];
   static override usage = Command.Usage({
@@ -25,5 +24,4 @@
   }
 }
 
-/** Commands of this module. */
 export const versionCommands = [VersionCommand];
