--- a/src/config/apply-outcome.ts
+++ b/src/config/apply-outcome.ts
@@ -1,4 +1,4 @@
-/** How one change of the rules may end; the rounds themselves are in platform-rules-repository.ts. */
+/** Outcomes of a change of the rules; platform-rules-repository.ts runs the rounds. */
 import { isDeepStrictEqual } from 'node:util';
 import { Result } from 'true-myth';
 import { createFailure, type Failure } from '../core/failure.js';
@@ -9,12 +9,12 @@
 
 const OPERATION_ID = /^[A-Za-z0-9._:-]{1,128}$/;
 const MAX_AUTHOR_LENGTH = 256;
-/** Retry time told when other changes came first, in milliseconds. */
+/** Retry delay reported when other changes came first, in milliseconds. */
 const CONTENDED_RETRY_MS = 20;
-/** Retry time told when the outcome is unknown, in milliseconds. */
+/** Retry delay reported when the outcome is unknown, in milliseconds. */
 const UNKNOWN_RETRY_MS = 1_000;
 
-/** How one round of an apply ended; `again` asks for another one. */
+/** Outcome of one round of an apply; `again` means that another round is needed. */
 export type Round =
   | { readonly type: 'done'; readonly result: Result<RevisionRecord, ApplyFailure> }
   | { readonly type: 'again'; readonly failure: Failure };
@@ -29,14 +29,14 @@
   return { type: 'done', result };
 }
 
-/** The operator has not seen the tenant's newest revision. */
+/** Ends the rounds: the operator has not seen the tenant's newest revision. */
 export function reportConflict({ expectedRevision }: Change, currentRevision: number): Round {
   const detail = `revision ${expectedRevision} was expected, ${currentRevision} is current`;
   const failure = createFailure(ResultCode.RevisionConflict, detail);
   return endWith(Result.err({ ...failure, currentRevision }));
 }
 
-/** Checks the members of a request that are not the document. */
+/** Checks all members of a request except the document. */
 export function checkFields({
   operationId,
   author,
@@ -52,7 +52,7 @@
   return Result.err(createFailure(ResultCode.InvalidArgument, problems.join('; ')));
 }
 
-/** The result of a repeat: the first one, when it is the same change. */
+/** Result of a retried operation: the first result if the document is the same. */
 export function expectSameChange(
   change: Change,
   record: RevisionRecord,
@@ -62,7 +62,7 @@
   return Result.err(createFailure(ResultCode.IdempotencyKeyReused, detail));
 }
 
-/** Other changes came first; nothing was written. */
+/** Failure when other changes came first; nothing was written. */
 export function createContentionFailure(): Failure {
   const detail = 'other changes came first';
   return createFailure(ResultCode.PlatformRateLimited, detail, {
@@ -70,7 +70,7 @@
   });
 }
 
-/** The time is up while a copy of the write may still arrive. */
+/** Failure when the time is up while a copy of the write may still arrive. */
 export function toUnknown({ detail }: Failure): Failure {
   const text = `outcome not settled in time, repeat with the same operation id: ${detail}`;
   return createFailure(ResultCode.WriteOutcomeUnknown, text, { retryAfterMs: UNKNOWN_RETRY_MS });
--- a/src/config/config-distribution.test.ts
+++ b/src/config/config-distribution.test.ts
@@ -12,7 +12,7 @@
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'];
 const TENANT = 'recife';
-/** Time in which a change is in force everywhere (docs/DEVELOPERS.md). */
+/** Time within which a change is in force everywhere (docs/DEVELOPERS.md). */
 const IN_FORCE_WITHIN_MS = 8_000;
 
 /** Time over which reads of the platform are counted, and the most that one watcher makes in it. */
@@ -36,7 +36,7 @@
   return [...fleet.nodes.values()].map(revisionOf);
 }
 
-/** Accepts one more revision at a node; virtual time passes meanwhile. */
+/** Accepts the next revision at a node; advances virtual time while answers are delayed. */
 async function accept(
   fleet: SimulatedConfigFleet,
   node: SimulatedConfigNode,
@@ -51,10 +51,10 @@
   while (fleet.answerDelayMs > 0 && !isSettled) await fleet.advance(50);
   const result = await pending;
   assert.ok(result.isOk);
-  assert.equal(revisionOf(node), revision, 'in force at the accepting node at once');
+  assert.equal(revisionOf(node), revision, 'in force at the accepting node immediately');
 }
 
-test('a change is in force everywhere in time, with at most two watchers a zone', async () => {
+test('a change is in force everywhere in time, with at most two watchers per zone', async () => {
   const fleet = await startFleet(4);
   await fleet.advance(1_000);
   assert.equal(fleet.platform.watchCount, 2 * ZONES.length);
@@ -64,7 +64,7 @@
   assert.deepEqual(new Set(revisions(fleet)), new Set([1]));
 });
 
-test("the platform's load follows the number of zones, not of nodes", async () => {
+test("the platform's load depends on the number of zones, not of nodes", async () => {
   for (const nodesPerZone of [2, 3, 12]) {
     const fleet = await startFleet(nodesPerZone);
     await fleet.advance(2_000);
@@ -72,7 +72,7 @@
     await fleet.advance(COUNTED_MS);
     const { reads } = fleet.platform;
     const most = 2 * ZONES.length * MAX_READS_PER_WATCHER;
-    assert.ok(reads > most / 2 && reads <= most, `${nodesPerZone} a zone: ${reads} reads`);
+    assert.ok(reads > most / 2 && reads <= most, `${nodesPerZone} per zone: ${reads} reads`);
   }
 });
 
@@ -86,7 +86,7 @@
   assert.equal(watchers.length, 2);
 });
 
-test('a change accepted right before an outage of the platform spreads between the nodes', async () => {
+test('a change accepted just before an outage of the platform spreads between the nodes', async () => {
   const fleet = await startFleet(3);
   fleet.platform.startOutage();
   fleet.platform.down = false;
@@ -97,30 +97,30 @@
   assert.deepEqual(new Set(revisions(fleet)), new Set([1]));
 });
 
-test('a watch that stalls without an error is noticed by the poll', async () => {
+test('the poll detects a watch that stalls without an error', async () => {
   const fleet = await startFleet(2);
   await fleet.advance(1_000);
   fleet.platform.watchesStall = true;
-  const gone = fleet.startNode('zone-a');
-  await accept(fleet, gone, 1);
-  fleet.killNode(gone);
+  const acceptingNode = fleet.startNode('zone-a');
+  await accept(fleet, acceptingNode, 1);
+  fleet.killNode(acceptingNode);
   await fleet.advance(IN_FORCE_WITHIN_MS);
   assert.deepEqual(new Set(revisions(fleet)), new Set([1]));
 });
 
-test('a node that stops in an outage first hands its newest rules over', async () => {
+test('a node that stops in an outage first waits until a peer has its newest rules', async () => {
   const fleet = await startFleet(2);
   await fleet.advance(1_000);
   fleet.platform.watchesStall = true;
   const [first] = fleet.inZone('zone-a');
   await accept(fleet, first!, 1);
   fleet.platform.startOutage();
-  let isHandedOver = false;
-  const handOver = first!.distribution.handOver(3_000).then(() => {
-    isHandedOver = true;
+  let isReplicated = false;
+  const replication = first!.distribution.waitForReplication(3_000).then(() => {
+    isReplicated = true;
   });
-  while (!isHandedOver) await fleet.advance(50);
-  await handOver;
+  while (!isReplicated) await fleet.advance(50);
+  await replication;
   fleet.killNode(first!);
   await fleet.advance(IN_FORCE_WITHIN_MS);
   assert.deepEqual(new Set(revisions(fleet)), new Set([1]));
@@ -146,7 +146,7 @@
   }
 });
 
-test('a node replaced during an outage starts from what its zone has in force', async () => {
+test('a node started during an outage takes the rules that its zone has in force', async () => {
   const fleet = await startFleet(2);
   await accept(fleet, fleet.inZone('zone-a')[0]!, 1);
   await fleet.advance(IN_FORCE_WITHIN_MS);
@@ -173,7 +173,7 @@
   assert.equal(revisionOf(replacement), 7);
 });
 
-test('a read answered late does not bring an older revision back', async () => {
+test('a read answered late does not restore an older revision', async () => {
   const fleet = await startFleet(2);
   await accept(fleet, fleet.inZone('zone-a')[0]!, 1);
   fleet.answerDelayMs = 3_000;
@@ -185,7 +185,7 @@
   });
 });
 
-test('a zone without a node left that knows the rules waits; it never starts from nothing', async () => {
+test('a zone without any node that has the rules waits for them; it never starts without rules', async () => {
   const fleet = await startFleet(1);
   await accept(fleet, fleet.inZone('zone-a')[0]!, 1);
   await fleet.advance(IN_FORCE_WITHIN_MS);
@@ -201,7 +201,7 @@
   assert.equal(revisionOf(alone), 1);
 });
 
-test('a zone that was cut off, with its platform link, catches up when it rejoins', async () => {
+test('a zone that was cut off from the platform and the other zones catches up when it rejoins', async () => {
   const fleet = await startFleet(2);
   fleet.platform.startOutage();
   fleet.setCut('zone-c', true);
@@ -217,7 +217,7 @@
   assert.deepEqual(new Set(revisions(fleet)), new Set([1]));
 });
 
-/** Revision 7 as a node could have it from elsewhere. */
+/** Revision 7, as a node could receive it from a peer. */
 function createNewerRecord(): RevisionRecord {
   const parsed = parseRules(createSampleRules({ tenant: TENANT }));
   assert.ok(parsed.isOk);
@@ -249,7 +249,7 @@
   { maxLength: 12 },
 );
 
-/** Found by a longer run: a starting node's slow read was older than what its zone had by then. */
+/** Failed once: a starting node's slow read was older than the rules of its zone by then. */
 const SLOW_READ_AT_START: Step[] = [
   { type: 'outage', isDown: true },
   { type: 'replace', node: 0 },
@@ -259,7 +259,7 @@
   { type: 'wait', durationMs: 301 },
 ];
 
-/** Checks after every step that no node and no zone falls back. */
+/** Checks after every step that no node and no zone falls back to an older revision. */
 class FallbackCheck {
   private readonly byNode = new Map<string, number>();
   private readonly byZone = new Map<string, { revision: number; readers: ReadonlySet<string> }>();
@@ -274,13 +274,13 @@
     for (const zone of ZONES) this.checkZone(zone);
   };
 
-  /** A zone has the lowest revision of its ready nodes in force, as long as one of them lives on. */
+  /** The lowest revision of a zone's ready nodes may not fall while one of them stays ready. */
   private checkZone(zone: string): void {
     const ready = this.fleet.inZone(zone).filter((node) => node.isReady);
     const before = this.byZone.get(zone);
     const revision = Math.min(...ready.map(revisionOf));
-    const lives = ready.some(({ id }) => before?.readers.has(id));
-    if (lives) assert.ok(revision >= before!.revision, `${zone} fell back`);
+    const hasEarlierReader = ready.some(({ id }) => before?.readers.has(id));
+    if (hasEarlierReader) assert.ok(revision >= before!.revision, `${zone} fell back`);
     const readers = new Set(ready.map(({ id }) => id));
     this.byZone.set(zone, { revision, readers });
   }
@@ -314,7 +314,7 @@
   }
 }
 
-test('random faults: nothing falls back, and all agree once the faults are over', async () => {
+test('random faults: no revision falls back, and all nodes agree once the faults are over', async () => {
   const property = fc.asyncProperty(steps, async (sequence) => {
     const fleet = await startFleet(2);
     const check = new FallbackCheck(fleet);
--- a/src/config/config-distribution.ts
+++ b/src/config/config-distribution.ts
@@ -1,9 +1,9 @@
 /**
- * Brings accepted rules into force at this node and passes them on.
+ * Brings accepted rules into force at this node and distributes them to its peers.
  *
- * Every way in (platform read, watch, peer, own acceptance) gives all changes up to a version,
- * so that a store's highest version says what it has: the newest record of each tenant up to
- * that version. Membership spreads the version; peers with a lower one pull.
+ * Every source (platform read, watch, peer, change accepted here) delivers all changes up to a
+ * version. A store's highest version therefore says what it holds: the newest record of each
+ * tenant up to that version. Membership gossips the version; peers with a lower one pull.
  */
 import { createRandom } from '../core/random.js';
 import type { CancelTimer, Clock } from '../kernel/clock.js';
@@ -15,19 +15,18 @@
 import type { ConfigStore, RevisionRecord } from './config-store.js';
 import { PeerRulesPull } from './peer-rules-pull.js';
 import { PlatformRulesWatch } from './platform-rules-watch.js';
-import { answerRulesFetch } from './rules-fetch.js';
+import { serveRulesFetch } from './rules-fetch.js';
 import { RulesStartup } from './rules-startup.js';
 
-/** Interval at which roles and peers are looked at also without a change of the members. */
+/** Interval of the checks of roles and peers while the members do not change. */
 const CHECK_INTERVAL_MS = 1_000;
 
 /** Delay of the check after a change of the members. */
 const CHECK_DELAY_MS = 50;
 
 /** Interval of the checks during a planned stop. */
-const HAND_OVER_CHECK_MS = 50;
+const REPLICATION_CHECK_INTERVAL_MS = 50;
 
-/** What the distribution works with. */
 export interface ConfigDistributionOptions {
   readonly store: ConfigStore;
   readonly platform: PlatformClient;
@@ -39,7 +38,7 @@
   readonly seed: number;
 }
 
-/** The distribution of one node. */
+/** Distribution of the rules at one node. */
 export class ConfigDistribution {
   private loaded = false;
   private readonly startup: RulesStartup;
@@ -50,30 +49,30 @@
   private nextCheckAt = Number.POSITIVE_INFINITY;
 
   constructor(private readonly options: ConfigDistributionOptions) {
-    const parts = {
+    const shared = {
       ...options,
       random: createRandom(options.seed),
       currentVersion: () => options.store.version,
       onRecords: (records: readonly RevisionRecord[]) => {
-        this.takeIn(records);
+        this.offerRecords(records);
       },
     };
     const onLoaded = (records: readonly RevisionRecord[]) => {
       this.load(records);
     };
-    this.startup = new RulesStartup({ ...parts, onLoaded });
-    this.watch = new PlatformRulesWatch(parts);
-    this.pull = new PeerRulesPull(parts);
+    this.startup = new RulesStartup({ ...shared, onLoaded });
+    this.watch = new PlatformRulesWatch(shared);
+    this.pull = new PeerRulesPull(shared);
   }
 
-  /** Whether this node follows the platform for its zone now. */
+  /** Whether this node watches the platform for its zone now. */
   get watching(): boolean {
     return this.watch.running;
   }
 
   start(): void {
     const { network, store, membership } = this.options;
-    answerRulesFetch(network, store, () => this.loaded);
+    serveRulesFetch(network, store, () => this.loaded);
     this.unsubscribe = membership.subscribe(() => {
       this.checkWithin(CHECK_DELAY_MS);
     });
@@ -90,26 +89,27 @@
   }
 
   /**
-   * Planned stop: waits until another node has this node's version, of the own zone when it
-   * has one, so that a change accepted in an outage of the platform is not lost with the node.
+   * Waits, at a planned stop, until another node has this node's version, so that a change
+   * accepted in an outage of the platform is not lost with this node. The other node
+   * must be of the own zone if that has any.
    *
    * @param limitMs longest wait
    */
-  async handOver(limitMs: number): Promise<void> {
+  async waitForReplication(limitMs: number): Promise<void> {
     const { clock } = this.options;
     const end = clock.now() + limitMs;
-    while (!this.isHandedOver() && clock.now() < end) {
-      await new Promise<void>((resolve) => clock.schedule(HAND_OVER_CHECK_MS, resolve));
+    while (!this.isReplicated() && clock.now() < end) {
+      await new Promise<void>((resolve) => clock.schedule(REPLICATION_CHECK_INTERVAL_MS, resolve));
     }
   }
 
-  /** Takes in a complete read of the platform made by the repository, with the accepted change. */
+  /** Loads a complete read of the platform by the repository, with the change it accepted. */
   acceptSnapshot(records: readonly RevisionRecord[]): void {
     this.startup.stop();
     this.load(records);
   }
 
-  private isHandedOver(): boolean {
+  private isReplicated(): boolean {
     const { membership, store } = this.options;
     const { nodeId, zone } = membership.self();
     const others = membership
@@ -123,11 +123,11 @@
 
   private load(records: readonly RevisionRecord[]): void {
     this.loaded = true;
-    this.takeIn(records);
+    this.offerRecords(records);
     this.check();
   }
 
-  private takeIn(records: readonly RevisionRecord[]): void {
+  private offerRecords(records: readonly RevisionRecord[]): void {
     const { store, log } = this.options;
     const before = store.version;
     for (const record of [...records].sort((a, b) => a.version - b.version)) {
@@ -139,11 +139,11 @@
     if (store.version > before) this.publish(before === 0);
   }
 
-  /** Peers may ask once they hear of the version, so it is told only after the last record. */
+  /** Peers may pull as soon as they see the version, so it is set only after the last record. */
   private publish(isFirst: boolean): void {
     const { membership, store } = this.options;
     const facts = { configVersion: store.version };
-    // Later the entry decides: a node that is stopping is not made ready again.
+    // Later the entry decides on readiness: a stopping node must not become ready again.
     membership.update(isFirst ? { ...facts, ready: true } : facts);
   }
 
@@ -154,7 +154,7 @@
     this.pull.check();
   }
 
-  /** Many changes of the members at once cost one check. */
+  /** Coalesces the checks: many changes of the members at once cause one check. */
   private checkWithin(delayMs: number): void {
     const { clock } = this.options;
     const at = clock.now() + delayMs;
--- a/src/config/config-plugin.ts
+++ b/src/config/config-plugin.ts
@@ -11,7 +11,7 @@
 const DISTRIBUTION = createToken<ConfigDistribution>('ConfigDistribution');
 
 /** Longest wait for another node to have this node's rules at a planned stop. */
-const HAND_OVER_LIMIT_MS = 3_000;
+const REPLICATION_WAIT_LIMIT_MS = 3_000;
 
 registerPlugin({
   name: 'config',
@@ -48,13 +48,13 @@
   },
   start(container) {
     if (container.isBound(Token.Metrics)) {
-      showRevisions(container.get(Token.ConfigStore), container.get(Token.Metrics));
+      exportRevisions(container.get(Token.ConfigStore), container.get(Token.Metrics));
     }
     container.get(DISTRIBUTION).start();
     return Promise.resolve();
   },
   async drain(container) {
-    await container.get(DISTRIBUTION).handOver(HAND_OVER_LIMIT_MS);
+    await container.get(DISTRIBUTION).waitForReplication(REPLICATION_WAIT_LIMIT_MS);
   },
   stop(container) {
     container.get(DISTRIBUTION).stop();
@@ -62,8 +62,8 @@
   },
 });
 
-/** Keeps the gauge of the revision in force by tenant. */
-function showRevisions(store: ConfigStore, metrics: Metrics): void {
+/** Updates the gauge of each tenant's revision in force. */
+function exportRevisions(store: ConfigStore, metrics: Metrics): void {
   store.subscribe(() => {
     for (const { tenant, revision } of store.records()) {
       metrics.rulesRevision.set({ tenant }, revision);
--- a/src/config/config-store.ts
+++ b/src/config/config-store.ts
@@ -10,7 +10,7 @@
   readonly version: number;
   /** `version` of the tenant's first revision (its key's createRevision); decides whose host it is. */
   readonly createdVersion?: number;
-  /** Chosen by the operator's client; a repeated apply with the same id is the same change. */
+  /** Chosen by the operator's client; a retried apply with the same id is the same change. */
   readonly operationId: string;
   readonly author: string;
   /** Unix milliseconds at which the accepting node wrote it; for display only. */
@@ -18,7 +18,7 @@
   readonly rules: Rules;
 }
 
-/** A request's place in the rules. */
+/** Tenant, service and kind of a request. */
 export interface Classification {
   readonly tenant: string;
   readonly service: ServiceRules;
@@ -34,16 +34,16 @@
 
 /** The rules in force. */
 export interface ConfigStore {
-  /** Takes a record in unless the tenant has the same or a newer revision. Returns whether it did. */
+  /** Stores a record unless the tenant has the same or a newer revision; returns whether it did. */
   offer(record: RevisionRecord): boolean;
   /** The newest record of each tenant, by tenant name. */
   records(): readonly RevisionRecord[];
   find(tenant: string): RevisionRecord | undefined;
-  /** Highest `version` taken in; 0 when empty. */
+  /** Highest `version` stored; 0 when empty. */
   readonly version: number;
   findServiceByHost(host: string): { tenant: string; service: ServiceRules } | undefined;
   findService(tenant: string, name: string): ServiceRules | undefined;
-  /** Longest matching prefix, then a matching method before any. */
+  /** Prefers the longest matching prefix, then a matching method over any method. */
   findKind(service: ServiceRules, method: string, path: string): KindRules | undefined;
   findTarget(targetId: string): LocatedTarget | undefined;
   /** Calls `listener` after each change; returns the unsubscribe function. */
--- a/src/config/document.ts
+++ b/src/config/document.ts
@@ -1,4 +1,4 @@
-/** Reading and checking of YAML or JSON documents with zod; every error is reported at once. */
+/** Parses YAML or JSON documents and validates them with zod; reports all errors at once. */
 import { Result } from 'true-myth';
 import { parseDocument } from 'yaml';
 import type { z } from 'zod';
@@ -22,7 +22,9 @@
   code: ResultCode,
 ): Result<T, Failure> {
   if (text.length > MAX_DOCUMENT_LENGTH) {
-    return Result.err(createFailure(code, `document is longer than ${MAX_DOCUMENT_LENGTH}`));
+    return Result.err(
+      createFailure(code, `document is longer than ${MAX_DOCUMENT_LENGTH} characters`),
+    );
   }
   const document = parseDocument(text, { prettyErrors: true });
   if (document.errors.length > 0) {
--- a/src/config/in-memory-config-store.test.ts
+++ b/src/config/in-memory-config-store.test.ts
@@ -83,7 +83,7 @@
   }
 });
 
-test('listeners hear of changes only, until they unsubscribe', () => {
+test('listeners are called for changes only, until they unsubscribe', () => {
   const store = new InMemoryConfigStore();
   let calls = 0;
   const unsubscribe = store.subscribe(() => (calls += 1));
--- a/src/config/in-memory-config-store.ts
+++ b/src/config/in-memory-config-store.ts
@@ -3,7 +3,7 @@
  *
  * A host or target id that two tenants claim belongs to the tenant that was created first
  * (`createdVersion`, then the tenant's name), so that every node with the same records
- * decides alike and a tenant does not lose a host by changing its own rules.
+ * decides the same way and a tenant does not lose a host by changing its own rules.
  */
 import type { ConfigStore, LocatedTarget, RevisionRecord } from './config-store.js';
 import type { KindRules, ServiceRules } from './rules.js';
--- a/src/config/operator-tokens.ts
+++ b/src/config/operator-tokens.ts
@@ -9,7 +9,7 @@
 /** Text that marks a token given as its hash. */
 const HASH_PREFIX = 'sha256:';
 
-/** A token in clear, or as `sha256:` and the 64 lower-case hex digits of its SHA-256. */
+/** A token in clear text, or as `sha256:` and the 64 lower-case hex digits of its SHA-256. */
 export const operatorToken = z
   .string()
   .min(8)
@@ -22,9 +22,9 @@
 /** Schema of one token of `admin.tokens`. */
 export const tokenGrantSchema = z.strictObject({
   token: operatorToken,
-  /** Tenants that the token stands for. */
+  /** Tenants that the token gives access to. */
   tenants: z.union([z.literal('all'), z.array(name).min(1).max(1_000)]),
-  /** A reader changes nothing. */
+  /** A reader may not change anything. */
   role: z.enum(['operator', 'reader']),
 });
 
@@ -48,13 +48,13 @@
     }
   });
 
-/** SHA-256 of a token of the settings, which holds the token or that hash. */
+/** SHA-256 of a token of the settings, which give the token in clear text or that hash. */
 export function digestOf(configured: string): Buffer {
   const hash = HASHED.exec(configured)?.[1];
   return hash === undefined ? hashToken(configured) : Buffer.from(hash, 'hex');
 }
 
-/** SHA-256 of a token in clear. */
+/** SHA-256 of a token in clear text. */
 export function hashToken(token: string): Buffer {
   return createHash('sha256').update(token).digest();
 }
--- a/src/config/peer-rules-pull.ts
+++ b/src/config/peer-rules-pull.ts
@@ -9,14 +9,13 @@
 import type { RevisionRecord } from './config-store.js';
 import { fetchRules } from './rules-fetch.js';
 
-/** Upper bound of the random delay before a pull, so that peers are not asked all at once. */
+/** Upper bound of the random delay before a pull, which spreads the pulls of many nodes. */
 const MAX_DELAY_MS = 300;
-/** Added when no peer of the own zone has the version yet: its watchers are about to get it. */
+/** Added when no peer of the own zone has the version yet: the zone's watchers soon get it. */
 const OTHER_ZONE_DELAY_MS = 300;
-/** Time for which a peer that failed, or had nothing newer, is not asked again. */
+/** Time for which no more is pulled from a peer that failed or had nothing newer. */
 const AVOID_MS = 2_000;
 
-/** What the pull works with. */
 export interface PeerRulesPullOptions {
   readonly membership: Membership;
   readonly network: PeerNetwork;
--- a/src/config/platform-rules-repository.test.ts
+++ b/src/config/platform-rules-repository.test.ts
@@ -15,7 +15,7 @@
 const { RevisionConflict, WriteOutcomeUnknown, PlatformUnavailable, RulesInvalid } = ResultCode;
 const { TenantMismatch, InvalidArgument, IdempotencyKeyReused, RevisionNotFound } = ResultCode;
 
-/** A clock that jumps over every pause. */
+/** A clock that skips every pause. */
 function createJumpingClock(step: () => Promise<void> = () => Promise.resolve()): Clock {
   let now = 0;
   return {
@@ -65,7 +65,7 @@
   ['too new a revision', { expectedRevision: 3 }, RevisionConflict],
 ];
 
-test('wrong input is refused without a write', async () => {
+test('invalid input is rejected without a write', async () => {
   for (const [name, changes, code] of inputCases) {
     const platform = new InMemoryPlatform();
     const request = createRequest('op', changes);
@@ -74,7 +74,7 @@
   }
 });
 
-/** Fates of the first writes, what apply returns, and what a repeat of the operation returns. */
+/** Outcomes of the first writes, what apply returns, and what a retry of the operation returns. */
 const writeCases: readonly (readonly [readonly WriteFate[], string, string])[] = [
   [[], 'revision 1', 'revision 1'],
   [['lost-after'], 'revision 1', 'revision 1'],
@@ -85,15 +85,15 @@
   [['lost-before', 'refused'], 'revision 1', 'revision 1'],
 ];
 
-test('a write is settled by reading back, and takes effect once', async () => {
-  for (const [fates, first, repeat] of writeCases) {
-    const name = fates.join(', ');
-    const left = [...fates];
+test('the outcome of a write is found by reading back, and the write takes effect once', async () => {
+  for (const [outcomes, first, retried] of writeCases) {
+    const name = outcomes.join(', ');
+    const left = [...outcomes];
     const platform = new InMemoryPlatform(undefined, { nextWrite: () => left.shift() ?? 'ok' });
     const repository = createRepository(platform);
     assert.equal(await applyCode(repository, createRequest('op')), first, name);
     platform.deliverLate();
-    assert.equal(await applyCode(repository, createRequest('op')), repeat, name);
+    assert.equal(await applyCode(repository, createRequest('op')), retried, name);
     const records = (await repository.history('recife', 9)).unwrapOr([]);
     assert.deepEqual(
       records.map(({ operationId }) => operationId),
@@ -103,13 +103,13 @@
   }
 });
 
-test('an outcome that cannot be settled is unknown, and a repeat settles it', async () => {
-  for (const fate of ['lost-after', 'lost-before'] as const) {
+test('an outcome that cannot be determined is unknown, and a retry determines it', async () => {
+  for (const outcome of ['lost-after', 'lost-before'] as const) {
     let isDown = false;
     const plan = {
       nextWrite: () => {
         isDown = true;
-        return fate;
+        return outcome;
       },
       nextReadFails: () => isDown,
     };
@@ -122,7 +122,7 @@
   }
 });
 
-test('a repeated operation returns its first result also after later changes', async () => {
+test('a retried operation returns its first result even after later changes', async () => {
   const repository = createRepository(new InMemoryPlatform());
   const first = (await repository.apply(createRequest('op-1'))).unwrapOr(undefined);
   const other = {
@@ -130,8 +130,8 @@
     document: createSampleRules({ tenant: 'recife', slots: 9 }),
   };
   assert.equal(await applyCode(repository, createRequest('op-10', other)), 'revision 2');
-  const repeated = (await repository.apply(createRequest('op-1'))).unwrapOr(undefined);
-  assert.deepEqual(repeated, first);
+  const retried = (await repository.apply(createRequest('op-1'))).unwrapOr(undefined);
+  assert.deepEqual(retried, first);
   const rebased = (await repository.apply(createRequest('op-1', { expectedRevision: 2 }))).unwrapOr(
     undefined,
   );
@@ -150,7 +150,7 @@
   assert.equal(result.error.currentRevision, 1);
 });
 
-test('a host of another tenant is refused, with its path', async () => {
+test('a host of another tenant is rejected, with its path', async () => {
   const repository = createRepository(new InMemoryPlatform());
   await repository.apply(createRequest('op-1'));
   const document = createSampleRules({ tenant: 'other', host: 'RECIFE.test:80' });
@@ -177,12 +177,12 @@
   assert.equal(missing.isErr && missing.error.code, RevisionNotFound);
 });
 
-/** Operators race with one expected revision; answers are lost, writes late, in any order. */
-test('races: one operation wins, none takes effect twice, results say the truth', async () => {
-  const fates = fc.array(fc.constantFrom<WriteFate>('ok', 'lost-before', 'lost-after', 'late'), {
+/** Operators race with the same expected revision; answers are lost and writes late, in any order. */
+test('races: one operation wins, none takes effect twice, and the results match the store', async () => {
+  const outcomes = fc.array(fc.constantFrom<WriteFate>('ok', 'lost-before', 'lost-after', 'late'), {
     maxLength: 8,
   });
-  const property = fc.asyncProperty(fc.scheduler(), fates, async (scheduler, planned) => {
+  const property = fc.asyncProperty(fc.scheduler(), outcomes, async (scheduler, planned) => {
     const left = [...planned];
     const step = () => scheduler.schedule(Promise.resolve());
     const plan = { nextWrite: () => left.shift() ?? 'ok', step };
@@ -208,7 +208,7 @@
   await fc.assert(property, { seed: 1, numRuns: 300 });
 });
 
-test('tenants that change at once both succeed, and each snapshot is complete', async () => {
+test('concurrent changes of several tenants all succeed, and each snapshot is complete', async () => {
   const property = fc.asyncProperty(fc.scheduler(), async (scheduler) => {
     const step = () => scheduler.schedule(Promise.resolve());
     const platform = new InMemoryPlatform(undefined, { step });
--- a/src/config/platform-rules-repository.ts
+++ b/src/config/platform-rules-repository.ts
@@ -40,24 +40,23 @@
   type RulesSnapshot,
 } from './stored-revision.js';
 
-/** Time in which a change is settled or reported as unknown, in milliseconds. */
+/** Time within which the outcome of a change is known or reported as unknown, in milliseconds. */
 const APPLY_TIME_LIMIT_MS = 5_000;
-/** Pause before another round, in milliseconds; the upper bound is drawn with full jitter. */
+/** Bounds of the random pause before another round, in milliseconds. */
 const MIN_PAUSE_MS = 20;
 const MAX_PAUSE_MS = 200;
 
-/** What the repository works with. */
 export interface PlatformRulesRepositoryOptions {
   readonly platform: PlatformClient;
   readonly clock: Clock;
   readonly log: EventLog;
   /** Seed of the pauses' jitter. */
   readonly seed: number;
-  /** Takes in what was read and accepted: the newest records of all tenants at one moment. */
+  /** Called with what was read or accepted: the newest records of all tenants at one moment. */
   readonly onSnapshot: (records: readonly RevisionRecord[]) => void;
 }
 
-/** The repository; see {@link RulesRepository} for the contract. */
+/** See {@link RulesRepository} for the contract. */
 export class PlatformRulesRepository implements RulesRepository {
   private readonly random: Random;
 
@@ -115,13 +114,13 @@
     return Result.ok(records.slice(0, limit));
   }
 
-  /** Rounds of read and write until the outcome is known or the time is up. */
+  /** Runs rounds of read and write until the outcome is known or the time is up. */
   private async settle(change: Change): Promise<Result<RevisionRecord, ApplyFailure>> {
     const { clock } = this.options;
     const deadline = clock.now() + APPLY_TIME_LIMIT_MS;
     let outstanding = false;
     for (;;) {
-      const round = await this.tryOnce(change);
+      const round = await this.runRound(change);
       if (round.type === 'done') return round.result;
       const { code, retryAfterMs = 0 } = round.failure;
       outstanding ||= code === ResultCode.WriteOutcomeUnknown;
@@ -134,7 +133,7 @@
     }
   }
 
-  private async tryOnce(change: Change): Promise<Round> {
+  private async runRound(change: Change): Promise<Round> {
     const read = await readSnapshot(this.options.platform);
     if (read.isErr) return { type: 'again', failure: read.error };
     const snapshot = read.value;
--- a/src/config/platform-rules-watch.ts
+++ b/src/config/platform-rules-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the rules from the platform and follows their changes, while this node is one of its
- * zone's watchers. A watch that is lost is opened again after a fresh read; the last change is
+ * Reads the rules from the platform and watches their changes, while this node is one of its
+ * zone's watchers. A watch that is lost is opened again after a new read. The last change is
  * also polled, because a watch on a broken link may stall without an error.
  */
 import type { Random } from '../core/random.js';
@@ -16,7 +16,6 @@
 /** Interval at which the last change is polled; the actual one varies by a quarter. */
 export const HEAD_POLL_INTERVAL_MS = 4_000;
 
-/** What the watch works with. */
 export interface PlatformRulesWatchOptions {
   readonly platform: PlatformClient;
   readonly clock: Clock;
@@ -24,22 +23,22 @@
   readonly log: EventLog;
   /** Highest version that the node has. */
   readonly currentVersion: () => number;
-  /** Takes records in; every record up to their highest version is among them or known. */
+  /** Called with new records; every record up to their highest version is among them or known. */
   readonly onRecords: (records: readonly RevisionRecord[]) => void;
 }
 
-/** Follows the platform's rules between `start` and `stop`; both may be called repeatedly. */
+/** Watches the platform's rules between `start` and `stop`; both may be called repeatedly. */
 export class PlatformRulesWatch {
   private active = false;
-  /** Tells answers of an earlier opening from those of the present one. */
-  private opening = 0;
+  /** Rises when the watch is opened or closed; answers to an earlier generation are ignored. */
+  private generation = 0;
   private failures = 0;
   private stopStream: () => void = () => {};
   private cancelTimer: CancelTimer = () => {};
 
   constructor(private readonly options: PlatformRulesWatchOptions) {}
 
-  /** Whether the node reads and follows the platform now. */
+  /** Whether the node reads and watches the platform now. */
   get running(): boolean {
     return this.active;
   }
@@ -58,9 +57,9 @@
 
   private async open(): Promise<void> {
     this.closeStream();
-    const opening = this.opening;
+    const generation = this.generation;
     const read = await readSnapshot(this.options.platform);
-    if (opening !== this.opening) return;
+    if (generation !== this.generation) return;
     if (read.isErr) {
       this.reopenLater();
       return;
@@ -69,13 +68,13 @@
     for (const key of read.value.unreadable) this.rejectUnreadable(key);
     const from = read.value.storeRevision + 1;
     this.stopStream = this.options.platform.watch(CURRENT_PREFIX, from, (event) => {
-      if (opening === this.opening) this.onEvent(event);
+      if (generation === this.generation) this.onEvent(event);
     });
-    this.pollLater(opening);
+    this.pollLater(generation);
   }
 
   private closeStream(): void {
-    this.opening += 1;
+    this.generation += 1;
     this.stopStream();
     this.stopStream = () => {};
     this.cancelTimer();
@@ -92,7 +91,7 @@
     else this.options.onRecords([record]);
   }
 
-  /** The record in force stays; a newer program may have written this one. */
+  /** Keeps the record in force; a newer program may have written the unreadable one. */
   private rejectUnreadable(key: string): void {
     this.options.log.emit(Event.RulesRejected, { key, detail: 'stored rules cannot be read' });
   }
@@ -104,18 +103,18 @@
     this.schedule((ceiling * (1 + this.options.random.next())) / 2, () => void this.open());
   }
 
-  private pollLater(opening: number): void {
+  private pollLater(generation: number): void {
     const factor = 0.75 + this.options.random.next() / 2;
-    this.schedule(HEAD_POLL_INTERVAL_MS * factor, () => void this.poll(opening));
+    this.schedule(HEAD_POLL_INTERVAL_MS * factor, () => void this.poll(generation));
   }
 
-  private async poll(opening: number): Promise<void> {
+  private async poll(generation: number): Promise<void> {
     const read = await this.options.platform.range(HEAD_KEY);
-    if (opening !== this.opening) return;
+    if (generation !== this.generation) return;
     if (read.isOk) this.failures = 0;
     const head = read.isOk ? (read.value.values[0]?.modRevision ?? 0) : 0;
     if (head > this.options.currentVersion()) await this.open();
-    else this.pollLater(opening);
+    else this.pollLater(generation);
   }
 
   private schedule(delayMs: number, callback: () => void): void {
--- a/src/config/rules-between-nodes.test.ts
+++ b/src/config/rules-between-nodes.test.ts
@@ -48,12 +48,13 @@
   return running.map((kernel) => kernel.container.get(Token.Settings).listen.peer);
 }
 
-/** Waits until the node serves with at least this revision. */
-async function untilInForce(kernel: Kernel, revision: number): Promise<void> {
+/** Waits until the node is ready with at least this revision in force. */
+async function waitUntilInForce(kernel: Kernel, revision: number): Promise<void> {
   const store = kernel.container.get(Token.ConfigStore);
   const membership = kernel.container.get(Token.Membership);
-  const holds = () => membership.self().ready && (store.find('recife')?.revision ?? 0) >= revision;
-  while (!holds()) await new Promise((resolve) => setTimeout(resolve, 10));
+  const isInForce = () =>
+    membership.self().ready && (store.find('recife')?.revision ?? 0) >= revision;
+  while (!isInForce()) await new Promise((resolve) => setTimeout(resolve, 10));
 }
 
 test(
@@ -75,11 +76,11 @@
       });
       assert.ok(applied.isOk, JSON.stringify(applied));
       assert.equal(applied.value.revision, 1);
-      for (const kernel of [first, second, third]) await untilInForce(kernel, 1);
+      for (const kernel of [first, second, third]) await waitUntilInForce(kernel, 1);
       await platform.control({ outage: 'refuse' });
       await second.stop();
       const replacement = await startNode('a3', 'zone-a', platform);
-      await untilInForce(replacement, 1);
+      await waitUntilInForce(replacement, 1);
     } finally {
       for (const kernel of running) await kernel.stop();
       await platform.close();
--- a/src/config/rules-fetch.ts
+++ b/src/config/rules-fetch.ts
@@ -1,4 +1,4 @@
-/** The call `configFetch` between nodes: both ends, with the checks of what comes in. */
+/** The call `configFetch` between nodes: client and handler, which validate what they receive. */
 import { Result } from 'true-myth';
 import { z } from 'zod';
 import { createFailure, type Failure } from '../core/failure.js';
@@ -15,7 +15,7 @@
 const replySchema = z.object({ records: z.array(revisionRecordSchema), version: z.number() });
 
 /**
- * Asks a peer for everything newer than `after`; with it the asker has all that the peer has.
+ * Requests everything newer than `after` from a peer; with it this node has all that the peer has.
  * Failures: those of the network, `NotReady`, `FrameMalformed`.
  */
 export async function fetchRules(
@@ -30,8 +30,8 @@
     .map(({ records }) => records);
 }
 
-/** Answers peers from the store; refuses while the node has not loaded the rules itself. */
-export function answerRulesFetch(
+/** Serves the store's records to peers; fails until this node has loaded the rules itself. */
+export function serveRulesFetch(
   network: PeerNetwork,
   store: ConfigStore,
   isLoaded: () => boolean,
--- a/src/config/rules-repository.ts
+++ b/src/config/rules-repository.ts
@@ -4,21 +4,21 @@
 import type { RevisionRecord } from './config-store.js';
 import type { Rules } from './rules.js';
 
-/** A change that an operator asks for. */
+/** A change requested by an operator. */
 export interface ApplyRequest {
   readonly tenant: string;
   /** Rules document, YAML or JSON. */
   readonly document: string;
   /** Revision that the operator has seen; 0 when the tenant is new. */
   readonly expectedRevision: number;
-  /** Chosen by the operator's client, 1 to 128 characters; a repeat with it is the same change. */
+  /** Chosen by the operator's client, 1 to 128 characters; a retry with it is the same change. */
   readonly operationId: string;
   readonly author: string;
 }
 
-/** Why a change was not accepted, or not known to be. */
+/** Why a change was not accepted, or that its outcome is unknown. */
 export interface ApplyFailure extends Failure {
-  /** The tenant's revision, with `RevisionConflict`. */
+  /** The tenant's current revision, with `RevisionConflict`. */
   readonly currentRevision?: number;
 }
 
@@ -32,7 +32,7 @@
    * Failures: `RulesInvalid`, `TenantMismatch`, `InvalidArgument`, `RevisionConflict` (with
    * `currentRevision`), `IdempotencyKeyReused` (operation id of another document),
    * `PlatformUnavailable` and `PlatformRateLimited` (not applied), `WriteOutcomeUnknown`
-   * (a repeat with the same operation id settles it).
+   * (a retry with the same operation id settles it).
    */
   apply(request: ApplyRequest): Promise<Result<RevisionRecord, ApplyFailure>>;
   /**
--- a/src/config/rules-startup.ts
+++ b/src/config/rules-startup.ts
@@ -1,9 +1,12 @@
 /**
- * Loads the rules at the start of a node: from the platform and then, because its answer may
- * have been slow, from a few ready peers of the own zone; when the platform fails, from all
- * reachable ready peers of the own zone; when the zone has none, from peers of other zones.
+ * Loads the rules when a node starts:
  *
- * A node that reaches none of them stays not ready: it cannot know what has been in force.
+ * - from the platform and then, because its answer may have been slow, from a few ready peers
+ *   of the own zone
+ * - when the platform fails, from all reachable ready peers of the own zone
+ * - when the zone has none, from peers of other zones
+ *
+ * A node that reaches none of them stays not ready: it cannot know which rules are in force.
  * See docs/design/configuration.md for what this guarantees.
  */
 import type { Random } from '../core/random.js';
@@ -18,27 +21,26 @@
 /** Pause between rounds, in milliseconds, before jitter; doubles up to the maximum. */
 const MIN_ROUND_INTERVAL_MS = 500;
 const MAX_ROUND_INTERVAL_MS = 2_000;
-/** Peers asked at the same time. */
+/** Peers queried at the same time. */
 const BATCH_SIZE = 8;
-/** Peers of the own zone asked after a read of the platform; one answer is enough. */
-const PEERS_ASKED_AFTER_READ = 3;
-/** Peers of other zones asked at most. */
+/** Peers of the own zone queried after a read of the platform; one reply is enough. */
+const PEERS_QUERIED_AFTER_READ = 3;
+/** Most peers of other zones that are queried in one round. */
 const MAX_OTHER_ZONE_PEERS = 16;
-/** Time in which membership must have heard of the own zone's peers, in milliseconds. */
+/** Time after which other zones are queried; membership knows the own zone's peers by then. */
 const OTHER_ZONES_AFTER_MS = 3_000;
 
-/** What loading works with. */
 export interface RulesStartupOptions {
   readonly platform: PlatformClient;
   readonly membership: Membership;
   readonly network: PeerNetwork;
   readonly clock: Clock;
   readonly random: Random;
-  /** Called once, with all that was read; nothing comes into force before. */
+  /** Called once, with everything that was read; nothing comes into force before. */
   readonly onLoaded: (records: readonly RevisionRecord[]) => void;
 }
 
-/** One node's start; runs rounds until loaded or stopped. */
+/** Runs rounds until the rules are loaded or the loading is stopped. */
 export class RulesStartup {
   private finished = false;
   private startedAt = 0;
@@ -53,7 +55,7 @@
     void this.runRound();
   }
 
-  /** Ends the rounds without a result (stop of the node, or rules loaded by another way). */
+  /** Ends the rounds without a result (the node stops, or the rules were loaded otherwise). */
   stop(): void {
     this.finished = true;
     this.cancelTimer();
@@ -78,8 +80,8 @@
     const read = await readSnapshot(this.options.platform);
     if (this.finished || read.isErr) return false;
     this.collected.push(...read.value.records);
-    // The answer may have been slow: the zone must not have moved on meanwhile.
-    await this.askAll(this.readyPeersInZone().slice(0, PEERS_ASKED_AFTER_READ));
+    // The answer may have been slow: the zone may have newer rules in force by now.
+    await this.askAll(this.readyPeersInZone().slice(0, PEERS_QUERIED_AFTER_READ));
     return true;
   }
 
@@ -103,7 +105,7 @@
     return this.readyPeers().filter((member) => member.zone === zone);
   }
 
-  /** Asks every peer; true when at least one has answered. */
+  /** Queries every peer; true when at least one has replied. */
   private async askAll(peers: readonly Member[]): Promise<boolean> {
     const { network } = this.options;
     let answered = false;
--- a/src/config/rules.ts
+++ b/src/config/rules.ts
@@ -38,10 +38,10 @@
   deadlineMs: z.int().min(1).max(600_000),
   /** Bound on attempts for the whole call chain under one request of this kind. */
   attempts: z.int().min(1).max(255),
-  /** Whether a request that may have run can be repeated. */
+  /** Whether a request that may have run can be retried. */
   idempotent: z.boolean(),
   /**
-   * Whether callers, other services, or both may send it; absent as the service says. A kind
+   * Whether callers, other services, or both may send it; absent: as for the service. A kind
    * that is only part of a chain should be `internal`: a call of it that has lost its context
    * field is then refused instead of being taken for a new request with a new bound.
    */
@@ -60,7 +60,7 @@
   hosts: z.array(z.string().min(1).max(253)).min(1).max(16),
   /** Whether callers, other services, or both may call it. */
   entry: entry.default('both'),
-  /** Slots of one target as far as the operator knows: the first concurrency limit. */
+  /** Slots of one target as known to the operator: the initial concurrency limit. */
   slots: z.int().min(1).max(10_000),
   /** Connections that one target accepts: the upper bound of the limit. */
   connections: z.int().min(1).max(100_000),
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -40,11 +40,11 @@
     timeoutMs: z.int().min(10).max(60_000).default(1_000),
   }),
   peers: z.strictObject({
-    /** Addresses to join by; the list of machines adds to them. */
+    /** Addresses of nodes to join through; the list of machines adds to them. */
     seeds: z.array(address).max(64).default([]),
     /** Key shared by all nodes, 16 characters or more; authenticates links and datagrams. */
     sharedKey,
-    /** Keys that are accepted as well and never sent with; for the change of `sharedKey`. */
+    /** Keys that are also accepted but never used to send; for changing `sharedKey`. */
     previousSharedKeys: z.array(sharedKey).max(3).default([]),
     /** TLS of links; plain TCP when absent. All nodes have it or none. */
     tls: mutualTlsSchema.optional(),
@@ -61,15 +61,15 @@
       maxMailboxLength: z.int().min(1).max(1_000_000).default(16_384),
       /** Bytes of bodies that the node buffers at once. */
       maxBufferedBytes: z.int().min(1_024).max(4_294_967_296).default(67_108_864),
-      /** Time in which a caller must have sent the whole request, in milliseconds. */
+      /** Time within which a caller must send the whole request, in milliseconds. */
       requestReadTimeoutMs: z.int().min(10).max(600_000).default(10_000),
     })
     .prefault({}),
   claims: z
     .strictObject({
       /**
-       * Replica groups that the claims are divided into, when this node starts the fleet; later
-       * the fleet's own record counts. Absent: one for about ten nodes.
+       * Number of replica groups for the claims when this node starts the fleet; later the
+       * fleet's own record applies. Absent: one group for about ten nodes.
        */
       groups: z.int().min(1).max(MAX_GROUPS).exactOptional(),
     })
@@ -95,7 +95,7 @@
   return parseAndValidate(text, settingsSchema, ResultCode.SettingsInvalid);
 }
 
-/** Validates settings that were put together in code or from flags. */
+/** Validates settings that were built in code or from flags. */
 export function validateSettings(value: unknown): Result<Settings, Failure> {
   return validateValue(value, settingsSchema, ResultCode.SettingsInvalid);
 }
--- a/src/config/stored-revision.ts
+++ b/src/config/stored-revision.ts
@@ -1,12 +1,12 @@
 /**
- * How revisions are kept in the platform's key-value service. Every key ends in `/`, so that
+ * Layout of the revisions in the platform's key-value service. Every key ends in `/`, so that
  * a read by prefix of one key finds no other. One transaction writes all four keys of a change:
  *
  * - `/sillshore/rules/current/<tenant>/`: the tenant's newest revision; the watched prefix
- * - `/sillshore/rules/history/<tenant>/<revision>/`: the same revision, kept
+ * - `/sillshore/rules/history/<tenant>/<revision>/`: the same revision, retained
  * - `/sillshore/rules/operations/<tenant>/<operation id>/`: the revision that the operation made
  * - `/sillshore/rules/head/`: the last change of any tenant. Every change compares it, so that
- *   changes form one order, and who makes one has read all earlier ones.
+ *   changes form one order, and a node that makes one has read all earlier ones.
  */
 import { z } from 'zod';
 import { Result } from 'true-myth';
@@ -28,12 +28,12 @@
   return `${CURRENT_PREFIX}${tenant}/`;
 }
 
-/** Key of one kept revision. */
+/** Key of one retained revision. */
 export function historyKey(tenant: string, revision: number): string {
   return `${ROOT}/history/${tenant}/${toDigits(revision)}/`;
 }
 
-/** Prefix of the ten kept revisions around `revision` that differ in its last digit only. */
+/** Prefix of the ten retained revisions around `revision` that differ in its last digit only. */
 export function historyBlockPrefix(tenant: string, revision: number): string {
   return `${ROOT}/history/${tenant}/${toDigits(revision).slice(0, -1)}`;
 }
@@ -43,7 +43,7 @@
   return `${ROOT}/operations/${tenant}/${operationId}/`;
 }
 
-/** A revision before the store has given it its version. */
+/** A revision before the store has assigned its version. */
 export type UnversionedRevision = Omit<RevisionRecord, 'version' | 'createdVersion'>;
 
 const storedSchema = z.object({
@@ -52,7 +52,7 @@
   operationId: z.string(),
   author: z.string(),
   acceptedAtMs: z.number(),
-  /** Absent in a tenant's first revision: it is that revision's own version. */
+  /** Absent in a tenant's first revision, where it equals that revision's own version. */
   createdVersion: z.int().optional(),
   rules: rulesSchema,
 });
@@ -83,7 +83,7 @@
   readonly records: readonly RevisionRecord[];
   /** Version of the newest change; 0 when there is none. */
   readonly version: number;
-  /** The store's revision at the read; a watch goes on from the next one. */
+  /** The store's revision at the read; a watch continues from the next one. */
   readonly storeRevision: number;
   /** Keys whose value this program cannot read. */
   readonly unreadable: readonly string[];
--- a/src/config/tls-settings.ts
+++ b/src/config/tls-settings.ts
@@ -15,20 +15,20 @@
 });
 
 const mutualTls = serverTls.extend({
-  /** Authorities, one or more, that the peers' certificates must come from. */
+  /** Certificates of the authorities, one or more, that the peers' certificates must come from. */
   ca: pem,
 });
 
-/** Schema of the TLS of a listener whose clients show no certificate. */
+/** Schema of the TLS of a listener whose clients present no certificate. */
 export const serverTlsSchema = serverTls.superRefine(checkPem);
 
-/** Schema of the TLS of links between nodes, which all show a certificate. */
+/** Schema of the TLS of links between nodes, which all present a certificate. */
 export const mutualTlsSchema = mutualTls.superRefine(checkPem);
 
 /** TLS of links between nodes. */
 export type MutualTls = z.infer<typeof mutualTls>;
 
-/** A text that is no PEM, or a key of another certificate, is found at start. */
+/** Finds at start a text that is not PEM, or the key of another certificate. */
 function checkPem(
   { certificate, key, ca }: { certificate: string; key: string; ca?: string },
   context: z.RefinementCtx,
@@ -36,7 +36,7 @@
   try {
     createSecureContext({ cert: certificate, key, ...(ca !== undefined && { ca }) });
   } catch (error) {
-    // OpenSSL's texts hold nothing of the key.
+    // OpenSSL's messages contain nothing of the key.
     const message = `not usable: ${(error as Error).message}`;
     context.addIssue({ code: 'custom', message });
   }
--- a/src/config/validate-value.ts
+++ b/src/config/validate-value.ts
@@ -1,4 +1,4 @@
-/** Checking of values with zod; every error is reported at once. */
+/** Validates values with zod; reports all errors at once. */
 import { Result } from 'true-myth';
 import type { z } from 'zod';
 import { createFailure, type Failure, type Violation } from '../core/failure.js';
