--- a/src/stand-ins/backend/backend-faults.ts
+++ b/src/stand-ins/backend/backend-faults.ts
@@ -1,36 +1,36 @@
-/** Faults of the back-end stand-in, switched by `POST /control` while it runs. */
+/** Faults of the back-end stand-in, switched on and off by `POST /control` while it runs. */
 import { z } from 'zod';
 
-/** Schema of the control document; members that are absent stay as they are. */
+/** Schema of the faults. */
 export const backendFaultsSchema = z.strictObject({
-  /** Requests are read and served, but no answer is sent. */
+  /** Reads and serves requests, but sends no answer. */
   pauseAnswers: z.boolean(),
   /** Destroys the connection in the middle of each answer. */
   dieMidAnswer: z.boolean(),
-  /** Announces the full length, sends half and ends the connection in order. */
+  /** Announces the full length, sends half of it and closes the connection without a reset. */
   truncate: z.boolean(),
-  /** Milliseconds by which each answer is held back. */
+  /** Milliseconds by which each answer is delayed. */
   answerDelayMs: z.number().min(0).max(600_000),
   /** Factor on the service time. */
   slowFactor: z.number().min(0.01).max(1_000),
-  /** Refuses everything with `Backend-State: overloaded`. */
+  /** Refuses every request with `Backend-State: overloaded`. */
   shed: z.boolean(),
-  /** Leaves: the state on the answers, and a refusal after `refuseAfterMs`. */
+  /** Drains: answers announce the state, and requests are refused after `refuseAfterMs`. */
   drain: z.boolean(),
   refuseAfterMs: z.number().min(0).max(600_000),
-  /** Leaves without a sign on its answers and keeps serving; only `/health` and the list tell. */
+  /** Drains and keeps serving; only `/health` and the list of machines show it, not the answers. */
   silentDrain: z.boolean(),
-  /** State that `/health` tells whatever the truth; `null` tells the truth. */
+  /** State that `/health` reports instead of the actual one, unless `null`. */
   healthOverride: z.enum(['starting', 'serving', 'draining']).nullable(),
   /** Milliseconds by which `/health` and `/load` lag. */
   reportLagMs: z.number().min(0).max(600_000),
-  /** Requests in flight that `/load` tells whatever the truth; `null` tells the truth. */
+  /** Requests in flight that `/load` reports instead of the actual number, unless `null`. */
   loadOverride: z.int().min(0).nullable(),
-  /** Calls below are made without the context field. */
+  /** Makes downstream calls without the context field. */
   dropContext: z.boolean(),
-  /** Times that the back end itself repeats a failed call below. */
+  /** Number of times that the back end itself retries a failed downstream call. */
   ownRetries: z.int().min(0).max(100),
-  /** Ignores that a client went away: work goes on and takes effect. */
+  /** Ignores that a client has closed its connection: the work goes on and takes effect. */
   ignoreCancel: z.boolean(),
   /** Serves requests whose deadline has passed. */
   ignoreDeadline: z.boolean(),
@@ -39,7 +39,7 @@
 /** Faults in force. */
 export type BackendFaults = z.infer<typeof backendFaultsSchema>;
 
-/** A back end without faults. */
+/** Values of a back end without faults. */
 export const NO_FAULTS: BackendFaults = {
   pauseAnswers: false,
   dieMidAnswer: false,
@@ -59,9 +59,9 @@
   ignoreDeadline: false,
 };
 
-/** Schema of `POST /control`: a change of some faults, and `coldMs` to start cold once. */
+/** Schema of `POST /control`: faults to change (absent ones keep their value), and `coldMs`. */
 export const backendControlSchema = backendFaultsSchema.partial().extend({
-  /** Milliseconds from now in which requests take longer. */
+  /** Simulates a cold start: requests take longer for this many milliseconds from now. */
   coldMs: z.number().min(0).max(600_000).optional(),
 });
 
--- a/src/stand-ins/backend/backend-options.ts
+++ b/src/stand-ins/backend/backend-options.ts
@@ -1,29 +1,29 @@
-/** Options of the back-end stand-in; all of them can be given as flags. */
+/** Options of the back-end stand-in. */
 
-/** Requests that a rule applies to; absent members match everything. */
+/** Matches requests; an absent member matches everything. */
 export interface RequestMatch {
   readonly method?: string | undefined;
   readonly pathPrefix?: string | undefined;
 }
 
-/** Service time of some of the requests. */
+/** Service time of the requests that match. */
 export interface WorkRule {
   readonly on: RequestMatch;
-  /** Mean in milliseconds, without the calls below. */
+  /** Mean in milliseconds, without the downstream calls. */
   readonly serviceMs: number;
-  /** Standard deviation of the logarithm; 0 makes it constant. */
+  /** Standard deviation of the logarithm; 0 gives a constant time. */
   readonly sigma: number;
 }
 
-/** One call that the back end makes while it serves a request: the next hop of a chain. */
+/** A call that the back end makes while it serves a request: the next hop of a chain. */
 export interface DownstreamCall {
   /** Requests that cause the call. */
   readonly on: RequestMatch;
-  /** Service called, for the journal. */
+  /** Service called, named in failures and in derived idempotency keys. */
   readonly service: string;
-  /** Host field under which the nodes know the service. */
+  /** Host field by which the nodes identify the service. */
   readonly host: string;
-  /** Base URLs of nodes; the first is used while it answers. */
+  /** Base URLs of nodes; the first is used unless it is stopping. */
   readonly nodes: readonly string[];
   readonly method: string;
   readonly path: string;
@@ -31,25 +31,25 @@
 
 /** Options of one back end. */
 export interface BackendOptions {
-  /** `host:port`; port 0 takes a free one. */
+  /** `host:port`; port 0 chooses a free one. */
   readonly listen: string;
   readonly service: string;
   readonly target: string;
-  /** Requests served at once; more wait in order of arrival. */
+  /** Requests served at once; further ones wait in order of arrival. */
   readonly slots: number;
-  /** Requests that may wait; a further one is shed. */
+  /** Requests that may wait; further ones are refused. */
   readonly maxQueue: number;
-  /** Mean service time in milliseconds, without the calls below. */
+  /** Mean service time in milliseconds, without the downstream calls. */
   readonly serviceMs: number;
-  /** Standard deviation of the logarithm of the service time; 0 makes it constant. */
+  /** Standard deviation of the logarithm of the service time; 0 gives a constant time. */
   readonly sigma: number;
-  /** Service times that differ from `serviceMs`; the first match counts. */
+  /** Service times that differ from `serviceMs`; the first match applies. */
   readonly work: readonly WorkRule[];
-  /** Connections accepted at once; a further one is closed. */
+  /** Connections accepted at once; further ones are closed. */
   readonly connections: number;
-  /** Milliseconds that the first request of a connection waits. */
+  /** Delay of the first request of each connection, in milliseconds. */
   readonly connectionCostMs: number;
-  /** Milliseconds after the start in which requests take `coldFactor` times as long. */
+  /** Milliseconds after the start during which requests take `coldFactor` times as long. */
   readonly coldMs: number;
   readonly coldFactor: number;
   /** Bytes of filler in an answer. */
@@ -58,7 +58,7 @@
   readonly seed: number;
 }
 
-/** Defaults of everything that has a sensible one. */
+/** Defaults of the options that are not required. */
 export const BACKEND_DEFAULTS = {
   maxQueue: 1_000,
   sigma: 0.3,
--- a/src/stand-ins/backend/commands.ts
+++ b/src/stand-ins/backend/commands.ts
@@ -80,7 +80,7 @@
     const options = await this.readOptions();
     if (options.isErr) return this.fail(options.error);
     const { startBackend } = await import('./start-backend.js');
-    const { waitForStopSignal } = await import('../run-until-signal.js');
+    const { waitForStopSignal } = await import('../stop-signal.js');
     const backend = await startBackend(options.value);
     this.print(JSON.stringify({ ready: true, address: backend.address }));
     await waitForStopSignal();
--- a/src/stand-ins/backend/downstream-caller.ts
+++ b/src/stand-ins/backend/downstream-caller.ts
@@ -1,4 +1,4 @@
-/** Calls of a back end to the next service of its chain, by HTTP through a node. */
+/** HTTP calls of a back end to the next service of its chain, through a node. */
 import { EntryChooser } from '../entry-chooser.js';
 import { createAgent, exchange, type ExchangeResult } from '../http-exchange.js';
 import { CALLER_REQUEST_MEMBER, digestRequest, parseBaggage } from '../request-digest.js';
@@ -6,10 +6,10 @@
 import type { BackendFaults } from './backend-faults.js';
 import type { DownstreamCall } from './backend-options.js';
 
-/** Wait for a call below when the request brought no deadline. */
+/** Time limit of a downstream call if the request has no deadline. */
 const DEFAULT_TIMEOUT_MS = 30_000;
 
-/** The request under which a call is made. */
+/** The request for which a call is made. */
 export interface CallParent {
   readonly baggage: string | undefined;
   readonly traceparent: string | undefined;
@@ -18,26 +18,26 @@
   readonly signal: AbortSignal;
 }
 
-/** Result of one call below. */
+/** Outcome of a downstream call. */
 export type CallOutcome =
   | { readonly type: 'ok' }
   | { readonly type: 'wrong-answer' }
-  /** `cause` is the result code, how the exchange ended, or the failed call further below. */
+  /** `cause` is the result code, the failed call further down, the status or the exchange's end. */
   | { readonly type: 'failed'; readonly status: number; readonly cause: string };
 
-/** Makes calls with keep-alive connections. */
+/** Makes downstream calls over keep-alive connections. */
 export class DownstreamCaller {
   private readonly agent = createAgent();
   private readonly choosers = new Map<DownstreamCall, EntryChooser>();
 
   constructor(private readonly faults: () => BackendFaults) {}
 
-  /** Makes one call; with the fault `ownRetries` it repeats a failed one by itself. */
+  /** Makes a call; with the fault `ownRetries`, also retries it if it fails. */
   async call(call: DownstreamCall, parent: CallParent): Promise<CallOutcome> {
     let outcome = await this.attempt(call, parent, 0);
-    for (let repeat = 1; repeat <= this.faults().ownRetries; repeat += 1) {
+    for (let retry = 1; retry <= this.faults().ownRetries; retry += 1) {
       if (outcome.type !== 'failed' || parent.signal.aborted) return outcome;
-      outcome = await this.attempt(call, parent, repeat);
+      outcome = await this.attempt(call, parent, retry);
     }
     return outcome;
   }
@@ -49,14 +49,14 @@
   private async attempt(
     call: DownstreamCall,
     parent: CallParent,
-    repeat: number,
+    retryNumber: number,
   ): Promise<CallOutcome> {
     const path = `${call.path}?request=${parent.requestKey}`;
     const body = call.method === 'GET' ? Buffer.alloc(0) : Buffer.from(parent.requestKey);
     const chooser = this.chooserFor(call);
-    // A node that refuses connections is passed over; anything else is final for this attempt.
+    // Goes on to the next node if one refuses connections; any other result ends this attempt.
     for (let offset = 0; offset < call.nodes.length; offset += 1) {
-      const node = chooser.choose(performance.now(), repeat + offset);
+      const node = chooser.choose(performance.now(), retryNumber + offset);
       const result = await exchange({
         base: call.nodes[node]!,
         method: call.method,
@@ -69,15 +69,15 @@
       });
       chooser.note(performance.now(), node, result);
       if (result.type === 'not-sent') continue;
-      return judge(result, digestRequest(call.method, path, body));
+      return classifyResult(result, digestRequest(call.method, path, body));
     }
     return { type: 'failed', status: 0, cause: 'not-sent' };
   }
 
   private chooserFor(call: DownstreamCall): EntryChooser {
-    const known = this.choosers.get(call) ?? new EntryChooser(call.nodes);
-    this.choosers.set(call, known);
-    return known;
+    const entryChooser = this.choosers.get(call) ?? new EntryChooser(call.nodes);
+    this.choosers.set(call, entryChooser);
+    return entryChooser;
   }
 
   private headers(call: DownstreamCall, parent: CallParent): Record<string, string> {
@@ -94,7 +94,7 @@
   }
 }
 
-function judge(result: ExchangeResult, digest: string): CallOutcome {
+function classifyResult(result: ExchangeResult, digest: string): CallOutcome {
   if (result.type !== 'answer') return { type: 'failed', status: 0, cause: result.type };
   if (result.status !== 200) {
     const code = result.headers['sillshore-result'] ?? result.headers['x-failed-call'];
--- a/src/stand-ins/backend/effects-journal.ts
+++ b/src/stand-ins/backend/effects-journal.ts
@@ -1,39 +1,39 @@
-/** Journal of a back end: what arrived, began and took effect, by request. */
+/** Journal of a back end: attempts that arrived, began and took effect, by request. */
 
-/** Everything that one request caused at one back end. Times are Unix milliseconds. */
+/** Attempts of one request at one back end. Times are in Unix milliseconds. */
 export interface JournalEntry {
   readonly request: string;
   readonly method: string;
   readonly path: string;
-  /** Attempts that arrived, refused ones included. */
+  /** Attempts that arrived, including refused ones. */
   received: number;
-  /** Attempts that the back end refused before they began. */
+  /** Attempts that the back end refused before they began to run. */
   refused: number;
   /** Times at which attempts got a slot. */
   readonly begunAt: number[];
   /** Times at which attempts took effect. */
   readonly effectAt: number[];
-  /** Attempts whose client went away before the effect. */
+  /** Attempts whose client closed its connection before the answer was sent. */
   cancelled: number;
 }
 
-/** Counters of one back end beside the journal. */
+/** Counters of one back end over all requests. */
 export interface BackendCounters {
   /** Requests that arrived without a request id. */
   anonymous: number;
-  /** Unix milliseconds at which the back end began to leave; 0 when it has not. */
+  /** Unix milliseconds at which the back end began to drain; 0 while it does not drain. */
   drainStartedAt: number;
-  /** Unix milliseconds of the last request that arrived. */
+  /** Unix milliseconds at which the last request arrived. */
   lastReceivedAt: number;
-  /** Requests that arrived after the back end began to leave. */
+  /** Requests that arrived after the back end began to drain. */
   receivedWhileDraining: number;
-  /** Connections closed because there were too many. */
+  /** Connections closed because the limit was reached. */
   connectionsRefused: number;
-  /** Complete answers from services below that belonged to another request. */
+  /** Complete answers to downstream calls that belonged to another request. */
   wrongAnswersBelow: number;
 }
 
-/** The journal as `GET /control/journal` answers it. */
+/** The journal as returned by `GET /control/journal`. */
 export interface BackendJournal {
   readonly service: string;
   readonly target: string;
@@ -58,7 +58,7 @@
     private readonly target: string,
   ) {}
 
-  /** Notes the arrival of an attempt and returns the entry of its request. */
+  /** Records the arrival of an attempt and returns the entry of its request. */
   receive(request: string, method: string, path: string): JournalEntry {
     const now = Date.now();
     this.counters.lastReceivedAt = now;
@@ -69,7 +69,7 @@
     return entry;
   }
 
-  /** Copy of everything, for the control endpoint. */
+  /** Returns the journal for the control endpoint. */
   snapshot(): BackendJournal {
     return {
       service: this.service,
--- a/src/stand-ins/backend/reports.ts
+++ b/src/stand-ins/backend/health-reports.ts
@@ -1,19 +1,19 @@
-/** `/health` and `/load` of a back end, which may lag or mislead. */
+/** Reports of a back end at `/health` and `/load`; faults make them late or wrong. */
 import type { BackendFaults } from './backend-faults.js';
 
-/** Load as `/load` tells it. */
+/** Load as `/load` reports it. */
 export interface ReportedLoad {
   readonly inFlight: number;
   readonly slots: number;
 }
 
-/** Sources of the true values. */
+/** Sources of the actual values. */
 export interface ReportSources {
   state(): string;
   load(): ReportedLoad;
 }
 
-/** What the back end tells. */
+/** Values that the back end reports. */
 export interface Reports {
   state(): string;
   load(): ReportedLoad;
@@ -27,9 +27,9 @@
 }
 
 const SAMPLE_INTERVAL_MS = 100;
-const KEPT_SAMPLES = 6_000;
+const MAX_SAMPLES = 6_000;
 
-/** Creates reports that follow the faults in force. */
+/** Creates reports to which the faults in force are applied. */
 export function createReports(faults: () => BackendFaults, sources: ReportSources): Reports {
   const samples: Sample[] = [];
   const sample = (): Sample => ({
@@ -39,14 +39,14 @@
   });
   const timer = setInterval(() => {
     samples.push(sample());
-    if (samples.length > KEPT_SAMPLES) samples.shift();
+    if (samples.length > MAX_SAMPLES) samples.shift();
   }, SAMPLE_INTERVAL_MS);
   timer.unref();
   const lagged = (): Sample => {
     const lag = faults().reportLagMs;
     if (lag === 0) return sample();
-    const until = performance.now() - lag;
-    return samples.findLast((candidate) => candidate.at <= until) ?? samples[0] ?? sample();
+    const latest = performance.now() - lag;
+    return samples.findLast((candidate) => candidate.at <= latest) ?? samples[0] ?? sample();
   };
   return {
     state: () => faults().healthOverride ?? lagged().state,
--- a/src/stand-ins/backend/backend-work.ts
+++ b/src/stand-ins/backend/serve-request.ts
@@ -1,4 +1,4 @@
-/** One request at a back end from its arrival to its answer. */
+/** Handling of one request at a back end, from its arrival to its answer. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { setTimeout as delay } from 'node:timers/promises';
 import { CALLER_REQUEST_MEMBER, digestRequest, parseBaggage } from '../request-digest.js';
@@ -8,20 +8,20 @@
 import type { BackendCounters, JournalEntry } from './effects-journal.js';
 import type { SlotPool } from './slot-pool.js';
 
-/** What the work on a request needs from its back end. */
+/** Parts of the back end that the handling of a request uses. */
 export interface WorkContext {
   readonly options: BackendOptions;
   readonly pool: SlotPool;
   readonly caller: DownstreamCaller;
   readonly counters: BackendCounters;
   faults(): BackendFaults;
-  /** Service time of a request in milliseconds, cold start and faults included. */
+  /** Draws the service time of a request in milliseconds, with cold start and faults applied. */
   nextServiceMs(method: string, path: string): number;
-  /** Value of `Backend-State` for answers, when there is one. */
+  /** Value of the `Backend-State` field of answers, if any. */
   announcedState(): string | undefined;
 }
 
-/** A request read whole. */
+/** A request whose body has been read. */
 export interface ReceivedRequest {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
@@ -31,8 +31,8 @@
   readonly arrivedAt: number;
 }
 
-/** Name of a request in the journal: the callers' own member, else what sillshore passes on. */
-export function nameRequest(request: IncomingMessage): string | undefined {
+/** Returns a request's id for the journal: the caller's own id, else the one sillshore forwards. */
+export function identifyRequest(request: IncomingMessage): string | undefined {
   const baggage = parseBaggage(request.headers['baggage'] as string | undefined);
   const key = request.headers['idempotency-key'];
   return (
@@ -42,8 +42,8 @@
   );
 }
 
-/** Milliseconds that the request's context field leaves. */
-export function readDeadline(request: IncomingMessage): number | undefined {
+/** Returns the remaining time in milliseconds from the request's context field. */
+export function readRemainingMs(request: IncomingMessage): number | undefined {
   const member = parseBaggage(request.headers['baggage'] as string | undefined).get(
     'sillshore-deadline',
   );
@@ -51,7 +51,7 @@
   return member === undefined || !Number.isFinite(value) ? undefined : value;
 }
 
-/** Refuses before anything was run. */
+/** Refuses a request that has not begun to run. */
 export function refuse(received: ReceivedRequest, state: 'draining' | 'overloaded'): void {
   received.entry.refused += 1;
   send(received.response, 503, Buffer.from(`{"refused":"${state}"}`), {
@@ -60,7 +60,7 @@
   });
 }
 
-/** Serves a request: waits for a slot, works, calls on, takes effect, answers. */
+/** Serves a request: waits for a slot, works, calls downstream, records the effect and answers. */
 export function serve(context: WorkContext, received: ReceivedRequest): void {
   const { entry, response } = received;
   const abort = new AbortController();
@@ -88,7 +88,7 @@
   signal: AbortSignal,
 ): Promise<void> {
   const { entry, response, request } = received;
-  const deadlineMs = readDeadline(request);
+  const deadlineMs = readRemainingMs(request);
   const waited = performance.now() - received.arrivedAt;
   if (deadlineMs !== undefined && waited > deadlineMs && !context.faults().ignoreDeadline) {
     refuse(received, 'overloaded');
@@ -97,7 +97,7 @@
   entry.begunAt.push(Date.now());
   try {
     await delay(context.nextServiceMs(entry.method, request.url ?? '/'), undefined, { signal });
-    const failure = await callOn(context, received, deadlineMs, signal);
+    const failure = await callDownstream(context, received, deadlineMs, signal);
     if (signal.aborted) return;
     if (failure !== undefined) {
       send(response, failure.status === 503 ? 503 : 502, Buffer.from(JSON.stringify(failure)), {
@@ -114,14 +114,14 @@
   await answer(context, received);
 }
 
-/** A failed call below, as the back end's own answer tells it. */
+/** A failed downstream call, as the back end's own answer reports it. */
 interface DependencyFailure {
   readonly status: number;
-  /** `service cause`, and so on down the chain. */
+  /** Service and cause, then those of the failed call further down the chain. */
   readonly failedCall: string;
 }
 
-async function callOn(
+async function callDownstream(
   context: WorkContext,
   received: ReceivedRequest,
   deadlineMs: number | undefined,
@@ -162,7 +162,7 @@
   const headers: Record<string, string> = {
     'content-type': 'application/json',
     'x-request-digest': digest,
-    // The back end's own time, so that a benchmark can tell its jitter from the added latency.
+    // The back end's own time, so that a benchmark can separate its jitter from the added latency.
     'server-timing': `total;dur=${(performance.now() - received.arrivedAt).toFixed(3)}`,
     ...(state === undefined ? {} : { 'backend-state': state }),
   };
@@ -187,7 +187,7 @@
   response.end(payload);
 }
 
-/** Announces the whole answer and sends half of it. */
+/** Announces the full length, sends half of the answer and resets or closes the connection. */
 function sendHalf(
   response: ServerResponse,
   payload: Buffer,
--- a/src/stand-ins/backend/service-time.ts
+++ b/src/stand-ins/backend/service-time.ts
@@ -1,4 +1,4 @@
-/** Seeded service times with a lognormal distribution about a mean. */
+/** Seeded service times with a lognormal distribution. */
 import type { Random } from '../../core/random.js';
 
 /** Draws one standard normal value (Box-Muller). */
--- a/src/stand-ins/backend/slot-pool.ts
+++ b/src/stand-ins/backend/slot-pool.ts
@@ -1,6 +1,6 @@
-/** Slots of a back end with a queue in order of arrival. */
+/** Slots of a back end with a FIFO queue. */
 
-/** Waits for a slot; `start` is called at most once. */
+/** A request that waits for a slot; `start` is called at most once. */
 export interface SlotWaiter {
   readonly start: () => void;
 }
@@ -23,7 +23,7 @@
     return this.waiting.length;
   }
 
-  /** Takes a slot now or queues; returns false when the queue is full. */
+  /** Takes a slot now or queues; returns false if the queue is full. */
   acquire(waiter: SlotWaiter): boolean {
     if (this.used < this.slots) {
       this.used += 1;
@@ -45,7 +45,7 @@
     next.start();
   }
 
-  /** Withdraws a waiting request; returns whether it was waiting. */
+  /** Removes a request from the queue; returns whether it was queued. */
   withdraw(waiter: SlotWaiter): boolean {
     const index = this.waiting.indexOf(waiter);
     if (index < 0) return false;
--- a/src/stand-ins/backend/start-backend.test.ts
+++ b/src/stand-ins/backend/start-backend.test.ts
@@ -93,7 +93,7 @@
     effects: 0,
   },
   {
-    name: 'drain, refusing',
+    name: 'drain with refusals',
     fault: { drain: true, refuseAfterMs: 0 },
     ends: 'answer',
     status: 503,
@@ -101,15 +101,15 @@
     effects: 0,
   },
   {
-    name: 'drain, still serving',
+    name: 'drain that still serves',
     fault: { drain: true, refuseAfterMs: LONG_MS },
     ends: 'answer',
     status: 200,
     state: 'draining',
     effects: 1,
   },
-  { name: 'dies in the middle', fault: { dieMidAnswer: true }, ends: 'cut', effects: 1 },
-  { name: 'truncates', fault: { truncate: true }, ends: 'cut', effects: 1 },
+  { name: 'reset during an answer', fault: { dieMidAnswer: true }, ends: 'cut', effects: 1 },
+  { name: 'truncated answer', fault: { truncate: true }, ends: 'cut', effects: 1 },
 ];
 
 for (const { name, fault, ends, status, state, effects } of faultCases) {
@@ -127,7 +127,7 @@
   });
 }
 
-test('health and load mislead when told to', async () => {
+test('healthOverride replaces the reported state', async () => {
   await withBackend({}, async (backend, send) => {
     backend.control({ drain: true, healthOverride: 'serving', loadOverride: 0 });
     const health = await send('/health');
@@ -138,7 +138,7 @@
   });
 });
 
-test('a client that goes away frees its slot and nothing takes effect', async () => {
+test('a request whose client disconnects frees its slot and takes no effect', async () => {
   await withBackend({ serviceMs: LONG_MS }, async (backend, send) => {
     const abort = new AbortController();
     const first = send('/steps', { signal: abort.signal });
@@ -152,7 +152,7 @@
   });
 });
 
-test('a request whose deadline has passed in the queue is not run', async () => {
+test('a request whose deadline passes in the queue is not run', async () => {
   await withBackend({ serviceMs: 20 }, async (backend, send) => {
     const first = send('/steps');
     await until(() => backend.journal.snapshot().entries[0]?.begunAt.length === 1);
@@ -165,7 +165,7 @@
   });
 });
 
-test('a call on to the next service carries the baggage, or drops it when told to', async () => {
+test('a downstream call carries the baggage and is retried with the fault ownRetries', async () => {
   await withBackend({ service: 'deep', target: 'deep-1' }, async (deep) => {
     const call = {
       on: {},
--- a/src/stand-ins/backend/start-backend.ts
+++ b/src/stand-ins/backend/start-backend.ts
@@ -1,4 +1,4 @@
-/** The back-end stand-in: an HTTP server that keeps the back ends' published protocol. */
+/** The back-end stand-in: an HTTP server that implements the published protocol of back ends. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -9,19 +9,19 @@
 import { closeServer, listenOn, readBody, sendJson } from '../http-server.js';
 import { backendControlSchema, NO_FAULTS, type BackendControl } from './backend-faults.js';
 import { matchesRequest, type BackendOptions } from './backend-options.js';
-import { nameRequest, refuse, serve, type WorkContext } from './backend-work.js';
+import { identifyRequest, refuse, serve, type WorkContext } from './serve-request.js';
 import { DownstreamCaller } from './downstream-caller.js';
 import { EffectsJournal } from './effects-journal.js';
-import { createReports } from './reports.js';
+import { createReports } from './health-reports.js';
 import { drawServiceTime } from './service-time.js';
 import { SlotPool } from './slot-pool.js';
 
 /** A running back end. */
 export interface Backend {
-  /** Address taken, `host:port`. */
+  /** Bound address, `host:port`. */
   readonly address: string;
   readonly journal: EffectsJournal;
-  /** Switches faults, as `POST /control` does. */
+  /** Changes faults, as `POST /control` does. */
   control(change: BackendControl): void;
   stop(): Promise<void>;
 }
@@ -72,7 +72,7 @@
 
   const handleWork = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
     const arrivedAt = performance.now();
-    const name = nameRequest(request);
+    const name = identifyRequest(request);
     if (name === undefined) journal.counters.anonymous += 1;
     const body = await readBody(request);
     const entry = journal.receive(name ?? 'anonymous', request.method ?? '', request.url ?? '');
@@ -112,10 +112,10 @@
   return { address, journal, control, stop };
 }
 
-/** Idle connections are kept this long. */
+/** Idle time after which a connection is closed. */
 const KEEP_ALIVE_TIMEOUT_MS = 60_000;
 
-/** Connections above the back end's own limit, kept free for its control endpoint and reports. */
+/** Connections accepted above the limit, for the control endpoint and the reports. */
 const RESERVED_CONNECTIONS = 8;
 
 function limitConnections(
@@ -137,7 +137,7 @@
 
 const seenConnections = new WeakSet<Socket>();
 
-/** Milliseconds that the first request of a connection waits; 0 for later ones. */
+/** Returns the delay of the first request of a connection in milliseconds; 0 for later ones. */
 function takeConnectionCost(socket: Socket, costMs: number): number {
   if (seenConnections.has(socket)) return 0;
   seenConnections.add(socket);
--- a/src/stand-ins/callers/arrivals.ts
+++ b/src/stand-ins/callers/arrivals.ts
@@ -1,17 +1,17 @@
-/** Open-loop arrivals: requests leave at their planned times whatever the answers do. */
+/** Open-loop arrivals: requests are sent at their planned times, regardless of the answers. */
 import type { Random } from '../../core/random.js';
 
-/** Sends planned arrivals on time until stopped. */
+/** Sends requests at their planned times until the end or until stopped. */
 export interface ArrivalProcess {
   /** Changes the rate from now on. */
   setFactor(factor: number): void;
-  /** Settles when the last arrival has been sent. */
+  /** Resolves when the last request has been sent. */
   readonly done: Promise<void>;
   stop(): void;
 }
 
-/** Arrivals planned within this time of now are waited for without a timer. */
-const SPIN_MS = 0.2;
+/** Requests planned within this time from now are sent at once, without a timer. */
+const MAX_EARLY_SEND_MS = 0.2;
 
 /**
  * Starts Poisson arrivals.
@@ -34,11 +34,11 @@
   });
   const gap = (): number => {
     const rate = ratePerSecond * factor;
-    return rate <= 0 ? IDLE_CHECK_MS : (-Math.log(1 - random.next()) * 1000) / rate;
+    return rate <= 0 ? RATE_CHECK_INTERVAL_MS : (-Math.log(1 - random.next()) * 1000) / rate;
   };
   let planned = performance.now() + gap();
   const step = (): void => {
-    while (planned <= performance.now() + SPIN_MS) {
+    while (planned <= performance.now() + MAX_EARLY_SEND_MS) {
       if (planned > endAt) break;
       if (ratePerSecond * factor > 0) send(planned);
       planned += gap();
@@ -62,5 +62,5 @@
   };
 }
 
-/** A stream without requests looks at its rate this often. */
-const IDLE_CHECK_MS = 50;
+/** Interval at which a stream with rate 0 checks its rate again. */
+const RATE_CHECK_INTERVAL_MS = 50;
--- a/src/stand-ins/callers/caller-journal.test.ts
+++ b/src/stand-ins/callers/caller-journal.test.ts
@@ -17,9 +17,9 @@
   ['other key', answer(200, {}, { ...own, request: 'k2' }), 'wrong'],
   ['damaged filler', answer(200, {}, { ...own, filler: 'abax' }), 'wrong'],
   ['not JSON', { type: 'answer', status: 200, headers: {}, body: Buffer.from('{') }, 'wrong'],
-  ['told not run', answer(503, { 'sillshore-execution': 'not-run' }), 'refused'],
-  ['told unknown', answer(504, { 'sillshore-execution': 'unknown' }), 'unknown'],
-  ['told run', answer(502, { 'sillshore-execution': 'run' }), 'failed'],
+  ['answer not-run', answer(503, { 'sillshore-execution': 'not-run' }), 'refused'],
+  ['answer unknown', answer(504, { 'sillshore-execution': 'unknown' }), 'unknown'],
+  ['answer run', answer(502, { 'sillshore-execution': 'run' }), 'failed'],
   ['error of the service', answer(502, {}), 'failed'],
   ['cut', { type: 'cut', error: 'reset' }, 'unknown'],
   ['timeout', { type: 'timeout' }, 'unknown'],
@@ -27,7 +27,7 @@
 ];
 
 for (const [name, result, verdict] of judgeCases) {
-  test(`judgement: ${name}`, () => {
+  test(`verdict of an attempt: ${name}`, () => {
     assert.equal(judgeExchange(result, DIGEST, 'k1'), verdict);
   });
 }
@@ -41,7 +41,7 @@
 ];
 
 for (const [verdicts, expected, toldNotRun] of concludeCases) {
-  test(`conclusion: ${verdicts.join(', ')}`, () => {
+  test(`verdict of a request: ${verdicts.join(', ')}`, () => {
     const tries = verdicts.map((verdict) => ({
       entry: 0,
       verdict,
--- a/src/stand-ins/callers/caller-journal.ts
+++ b/src/stand-ins/callers/caller-journal.ts
@@ -1,22 +1,22 @@
-/** What each request of the callers got: the record and its judgement. */
+/** Records of the callers' requests, with the verdict on each answer. */
 import type { ExchangeResult } from '../http-exchange.js';
 
-/** Judgement of one try or of a whole request. */
+/** Verdict on one attempt or on a whole request. */
 export type CallVerdict =
   /** The complete answer to the caller's own request. */
   | 'complete'
-  /** Told that it was not run. */
+  /** Not sent, or answered that it was not run. */
   | 'refused'
-  /** An answer of the service that is an error. */
+  /** Answered with an error of the service. */
   | 'failed'
-  /** Not known: told so, cut, or no answer within the caller's patience. */
+  /** Not known: the answer says so, the connection was cut, or the caller's time limit passed. */
   | 'unknown'
-  /** A complete answer to another request, or a damaged one. */
+  /** A complete answer that belongs to another request or is damaged. */
   | 'wrong';
 
-/** One try of a request. */
+/** One attempt of a request. */
 export interface TryRecord {
-  /** Position of the entry among those of the run. */
+  /** Index of the entry in the entries of the run. */
   readonly entry: number;
   readonly verdict: CallVerdict;
   readonly ended: ExchangeResult['type'];
@@ -25,14 +25,14 @@
   readonly code?: string;
   /** `Sillshore-Execution` of the answer. */
   readonly execution?: string;
-  /** Failed call below, as the service's answer tells: `service cause`, down the chain. */
+  /** Failed downstream call as the service reports it: service and cause, down the chain. */
   readonly below?: string;
   readonly latencyMs: number;
-  /** Milliseconds that the back end spent, by its own account. */
+  /** Milliseconds spent in the back end, as it reports them. */
   readonly backendMs?: number;
 }
 
-/** One request of a caller with all its tries. */
+/** One request of a caller with all its attempts. */
 export interface RequestRecord {
   readonly request: string;
   readonly kind: string;
@@ -40,13 +40,13 @@
   readonly sentAt: number;
   readonly tries: readonly TryRecord[];
   readonly verdict: CallVerdict;
-  /** Whether every try was told `not-run`. */
+  /** Whether every attempt was refused. */
   readonly toldNotRun: boolean;
-  /** From the planned time of sending to the end, in milliseconds. */
+  /** Milliseconds from the planned time of sending to the end. */
   readonly latencyMs: number;
 }
 
-/** Judges the end of one exchange. */
+/** Returns the verdict on one exchange. */
 export function judgeExchange(result: ExchangeResult, digest: string, key: string): CallVerdict {
   if (result.type === 'not-sent') return 'refused';
   if (result.type !== 'answer') return 'unknown';
@@ -57,7 +57,7 @@
   return isOwnAnswer(result.body, digest, key) ? 'complete' : 'wrong';
 }
 
-/** Puts the tries of a request together. */
+/** Creates the record of a request from its attempts. */
 export function concludeRequest(
   request: string,
   kind: string,
--- a/src/stand-ins/callers/caller.ts
+++ b/src/stand-ins/callers/caller.ts
@@ -1,4 +1,4 @@
-/** One caller's request with its hard retries. */
+/** One caller's request with its retries. */
 import { randomBytes } from 'node:crypto';
 import type { Agent } from 'node:http';
 import type { Random } from '../../core/random.js';
@@ -14,19 +14,19 @@
   type TryRecord,
 } from './caller-journal.js';
 
-/** How callers repeat what failed. */
+/** How callers retry failed requests. */
 export interface RetryBehaviour {
-  /** Tries in all, at least 1. */
+  /** Attempts in total, at least 1. */
   readonly maxTries: number;
-  /** Milliseconds before a repeat. */
+  /** Milliseconds before a retry. */
   readonly delayMs: number;
-  /** Part of the patience after which a try is given up and repeated, 0..1; 1 never. */
+  /** Fraction of the time limit after which an attempt is abandoned and retried, 0..1; 1: never. */
   readonly tryPatience: number;
-  /** Whether a repeat goes to another entry. */
+  /** Whether a retry goes to another entry. */
   readonly otherEntry: boolean;
 }
 
-/** Callers that do not repeat. */
+/** Callers that do not retry. */
 export const NO_RETRIES: RetryBehaviour = {
   maxTries: 1,
   delayMs: 0,
@@ -34,7 +34,7 @@
   otherEntry: true,
 };
 
-/** What a caller works with. */
+/** Entries, connections, random numbers and retry behaviour of a caller. */
 export interface CallerContext {
   readonly entries: EntryChooser;
   readonly agent: Agent;
@@ -43,7 +43,7 @@
 }
 
 /**
- * Makes one request and its repeats under one request id.
+ * Makes one request and its retries under one idempotency key.
  *
  * @param plannedAt `performance.now()` at which it should have been sent
  */
--- a/src/stand-ins/callers/callers-control.ts
+++ b/src/stand-ins/callers/callers-control.ts
@@ -5,14 +5,14 @@
 import type { Callers } from './start-callers.js';
 
 const controlSchema = z.strictObject({
-  /** Factor on every stream's rate from now on. */
+  /** Multiplies the rate of every stream from now on. */
   rateFactor: z.number().min(0).max(1_000).optional(),
   /** Ends the run early. */
   stop: z.boolean().optional(),
 });
 
 /**
- * Serves the control endpoint when an address is given.
+ * Serves the control endpoint if an address is given.
  *
  * @returns the function that closes it
  */
--- a/src/stand-ins/callers/commands.ts
+++ b/src/stand-ins/callers/commands.ts
@@ -85,7 +85,7 @@
     return ExitCode.Ok;
   }
 
-  /** Prints and waits until it is written: the program's end would cut a long line in a pipe. */
+  /** Prints and waits until it is written: the process's exit would cut a long line in a pipe. */
   private async printWhole(line: string): Promise<void> {
     await new Promise((resolve) => this.context.stdout.write(`${line}\n`, resolve));
   }
--- a/src/stand-ins/callers/start-callers.ts
+++ b/src/stand-ins/callers/start-callers.ts
@@ -14,7 +14,7 @@
   /** Base URLs of the entries. */
   readonly entries: readonly string[];
   readonly streams: readonly Stream[];
-  /** Factor on every stream's rate. */
+  /** Multiplies the rate of every stream. */
   readonly rateFactor: number;
   readonly durationMs: number;
   readonly seed: number;
@@ -25,22 +25,22 @@
 export interface CallersResult {
   readonly kinds: readonly KindSummary[];
   readonly records: readonly RequestRecord[];
-  /** How late requests left, in milliseconds: the stand-in's own error. */
+  /** Delay from planned to actual sending in milliseconds: the error of the stand-in itself. */
   readonly sendLag: Quantiles;
 }
 
-/** Callers at work. */
+/** A run of callers. */
 export interface Callers {
   setRateFactor(factor: number): void;
-  /** Stops sending; what runs ends. */
+  /** Stops sending; requests in flight are completed. */
   stop(): void;
   /** Result so far. */
   result(): CallersResult;
-  /** Settles when all requests have ended. */
+  /** Resolves when all requests have ended. */
   readonly done: Promise<CallersResult>;
 }
 
-/** Starts sending. */
+/** Starts the streams. */
 export function startCallers(options: CallersOptions): Callers {
   const agent = createAgent();
   const entries = new EntryChooser(options.entries);
@@ -50,11 +50,11 @@
 
   const send = (context: CallerContext, stream: Stream, plannedAt: number): void => {
     lag.record(performance.now() - plannedAt);
-    const exchangeEnd = makeRequest(context, stream, plannedAt).then((record) => {
+    const completion = makeRequest(context, stream, plannedAt).then((record) => {
       records.push(record);
-      running.delete(exchangeEnd);
+      running.delete(completion);
     });
-    running.add(exchangeEnd);
+    running.add(completion);
   };
   const arrivals: ArrivalProcess[] = options.streams.map((stream, index) => {
     const random = createRandom(hash32(`callers ${options.seed} ${index}`));
--- a/src/stand-ins/callers/summary.ts
+++ b/src/stand-ins/callers/summary.ts
@@ -1,4 +1,4 @@
-/** Summary by kind of what the callers got. */
+/** Summary of the callers' results by kind. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import type { CallVerdict, RequestRecord } from './caller-journal.js';
 
@@ -13,7 +13,7 @@
   readonly max: number;
 }
 
-/** What the requests of one kind got. */
+/** Results of the requests of one kind. */
 export interface KindSummary {
   readonly kind: string;
   readonly sent: number;
@@ -22,13 +22,13 @@
   readonly failed: number;
   readonly unknown: number;
   readonly wrong: number;
-  /** Tries of the callers themselves over all requests. */
+  /** Attempts that the callers made over all requests. */
   readonly tries: number;
-  /** Connections that ended in the middle of a try. */
+  /** Attempts whose connection ended before the answer was complete. */
   readonly cut: number;
-  /** Latency of the complete ones. */
+  /** Latency of the complete requests. */
   readonly latency: Quantiles;
-  /** Refusals and failures by result code. */
+  /** Attempts that were not complete, by result code, failed downstream call, status or end. */
   readonly codes: Readonly<Record<string, number>>;
 }
 
--- a/src/stand-ins/entry-chooser.test.ts
+++ b/src/stand-ins/entry-chooser.test.ts
@@ -11,10 +11,10 @@
 });
 
 const cases: readonly (readonly [string, ExchangeResult, number])[] = [
-  ['an entry that closes is passed over', answer('close'), 1],
-  ['an entry that refuses connections is passed over', { type: 'not-sent', error: '' }, 1],
-  ['an entry that keeps the connection stays', answer('keep-alive'), 0],
-  ['a timeout tells nothing of the entry', { type: 'timeout' }, 0],
+  ['an entry that closes the connection is avoided', answer('close'), 1],
+  ['an entry that refuses connections is avoided', { type: 'not-sent', error: '' }, 1],
+  ['an entry that keeps the connection open is still chosen', answer('keep-alive'), 0],
+  ['a timeout does not mark the entry as stopping', { type: 'timeout' }, 0],
 ];
 
 for (const [name, result, expected] of cases) {
@@ -22,11 +22,11 @@
     const chooser = new EntryChooser(['a', 'b', 'c']);
     chooser.note(0, 0, result);
     assert.equal(chooser.choose(1, 0), expected);
-    assert.equal(chooser.choose(3_000, 0), 0, 'for a while only');
+    assert.equal(chooser.choose(3_000, 0), 0, 'avoided for a limited time only');
   });
 }
 
-test('the start is taken when every entry is passed over', () => {
+test('the entry at the start position is chosen when all are avoided', () => {
   const chooser = new EntryChooser(['a', 'b']);
   for (const index of [0, 1]) chooser.note(0, index, { type: 'not-sent', error: '' });
   assert.equal(chooser.choose(1, 3), 1);
--- a/src/stand-ins/entry-chooser.ts
+++ b/src/stand-ins/entry-chooser.ts
@@ -1,14 +1,14 @@
 /**
- * Choice of an entry as docs/CALLERS.md asks clients for: an entry that said `Connection: close`
- * or refused a connection is about to stop, and is passed over for a while when there are others.
+ * Chooses an entry as docs/CALLERS.md requires of clients: an entry that sent `Connection: close`
+ * or refused a connection is about to stop, so it is avoided for a while if there are others.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { ExchangeResult } from './http-exchange.js';
 
-/** Milliseconds for which such an entry is passed over. */
+/** Time for which a stopping entry is avoided. */
 const AVOID_MS = 3_000;
 
-/** Entries of one caller process. */
+/** Entries of one client, with the times until which they are avoided. */
 export class EntryChooser {
   private readonly avoidedUntil: number[];
 
@@ -17,7 +17,7 @@
     this.avoidedUntil = entries.map(() => 0);
   }
 
-  /** The first entry from `start` on that is not passed over, or `start` when all are. */
+  /** Returns the first entry from `start` on that is not avoided, or `start` if all are. */
   choose(now: number, start: number): number {
     for (let offset = 0; offset < this.entries.length; offset += 1) {
       const index = (start + offset) % this.entries.length;
@@ -26,14 +26,14 @@
     return start % this.entries.length;
   }
 
-  /** Takes in how an exchange with an entry ended. */
+  /** Records the result of an exchange with an entry. */
   note(now: number, index: number, result: ExchangeResult): void {
-    const stops =
-      result.type === 'not-sent' || (result.type === 'answer' && saysClose(result.headers));
-    if (stops) this.avoidedUntil[index] = now + AVOID_MS;
+    const isStopping =
+      result.type === 'not-sent' || (result.type === 'answer' && announcesClose(result.headers));
+    if (isStopping) this.avoidedUntil[index] = now + AVOID_MS;
   }
 }
 
-function saysClose(headers: IncomingHttpHeaders): boolean {
+function announcesClose(headers: IncomingHttpHeaders): boolean {
   return (headers.connection ?? '').toLowerCase() === 'close';
 }
--- a/src/stand-ins/http-exchange.ts
+++ b/src/stand-ins/http-exchange.ts
@@ -1,15 +1,15 @@
 /** One HTTP exchange over a keep-alive agent, with a time limit and cancellation. */
 import { Agent, request as startRequest, type IncomingHttpHeaders } from 'node:http';
 
-/** Idle connections of the stand-ins are closed after this time, before a node closes them. */
+/** Idle time after which a stand-in closes a connection, which is before a node closes it. */
 const IDLE_TIMEOUT_MS = 1_500;
 
-/** Creates the keep-alive pool of one stand-in. */
+/** Creates the keep-alive connection pool of one stand-in. */
 export function createAgent(): Agent {
   return new Agent({ keepAlive: true, timeout: IDLE_TIMEOUT_MS });
 }
 
-/** What is sent. */
+/** A request with its destination and time limit. */
 export interface ExchangeRequest {
   /** Base URL of a node or a back end, `http://127.0.0.1:8080`. */
   readonly base: string;
@@ -32,12 +32,12 @@
     }
   /** No answer before the time limit. */
   | { readonly type: 'timeout' }
-  /** The connection was refused, or the request was withdrawn before it was sent. */
+  /** The connection was refused or the host was unreachable. */
   | { readonly type: 'not-sent'; readonly error: string }
   /** The connection ended before the answer was complete. */
   | { readonly type: 'cut'; readonly error: string };
 
-/** Sends a request and reads the answer whole; never rejects. */
+/** Sends a request and reads the whole answer; never rejects. */
 export function exchange(options: ExchangeRequest): Promise<ExchangeResult> {
   return new Promise((resolve) => {
     let timedOut = false;
--- a/src/stand-ins/http-server.ts
+++ b/src/stand-ins/http-server.ts
@@ -1,9 +1,9 @@
-/** Small helpers on node:http that the stand-ins share. */
+/** Helpers for node:http servers, shared by the stand-ins. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { splitAddress } from '../core/host-and-port.js';
 
-/** Listens on `host:port` and resolves with the address taken. */
+/** Listens on `host:port` and resolves with the bound address. */
 export async function listenOn(server: Server, listen: string): Promise<string> {
   const { host, port } = splitAddress(listen);
   await new Promise<void>((resolve, reject) => {
@@ -17,7 +17,7 @@
   return `${host}:${address.port}`;
 }
 
-/** Closes a server together with its connections. */
+/** Closes a server and all of its connections. */
 export async function closeServer(server: Server): Promise<void> {
   await new Promise<void>((resolve) => {
     server.close(() => {
@@ -27,7 +27,7 @@
   });
 }
 
-/** Reads a body whole; rejects when the client ends early. */
+/** Reads a whole body; rejects if the client closes the connection early. */
 export async function readBody(request: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of request) chunks.push(chunk as Buffer);
--- a/src/stand-ins/link/commands.ts
+++ b/src/stand-ins/link/commands.ts
@@ -4,7 +4,7 @@
 import { SillshoreCommand } from '../../cli/command.js';
 import { ExitCode } from '../../cli/exit-code.js';
 
-/** Runs a link that can be cut. */
+/** Runs a TCP link with faults. */
 export class EmulateLinkCommand extends SillshoreCommand {
   static override paths = [['emulate', 'link']];
   static override usage = Command.Usage({
@@ -30,7 +30,7 @@
   protected async run(): Promise<ExitCode> {
     const { startLink, linkFaultsSchema } = await import('./start-link.js');
     const { closeServer, listenOn, readBody, sendJson } = await import('../http-server.js');
-    const { waitForStopSignal } = await import('../run-until-signal.js');
+    const { waitForStopSignal } = await import('../stop-signal.js');
     const link = await startLink(this.listen, this.target);
     const server = createServer((request, response) => {
       readBody(request)
--- a/src/stand-ins/link/start-link.test.ts
+++ b/src/stand-ins/link/start-link.test.ts
@@ -21,7 +21,7 @@
   }
 }
 
-test('bytes pass in both directions', async () => {
+test('bytes are relayed in both directions', async () => {
   await withLink(async (_, socket) => {
     socket.write('ping');
     assert.equal(String((await once(socket, 'data'))[0]), 'ping');
@@ -39,7 +39,7 @@
   });
 });
 
-test('a silent direction loses bytes and keeps the connection', async () => {
+test('a silent direction loses bytes and keeps the connection open', async () => {
   await withLink(async (link, socket) => {
     socket.write('ping');
     await once(socket, 'data');
@@ -52,7 +52,7 @@
   });
 });
 
-test('bytes keep their order when a delay ends, as on any connection', async () => {
+test('bytes keep their order when a delay ends', async () => {
   await withLink(async (link, socket) => {
     link.control({ delayMs: 100 });
     socket.write('first ');
--- a/src/stand-ins/link/start-link.ts
+++ b/src/stand-ins/link/start-link.ts
@@ -1,4 +1,4 @@
-/** The link stand-in: relays TCP connections and can cut, silence or delay them. */
+/** The link stand-in: relays TCP connections and can cut them, lose their bytes or delay them. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import type { AddressInfo } from 'node:net';
 import { z } from 'zod';
@@ -8,18 +8,18 @@
 export const linkFaultsSchema = z.strictObject({
   /** Closes all connections and refuses new ones. */
   cut: z.boolean(),
-  /** Bytes from the connecting side are lost from now on; connections stay open. */
+  /** Loses bytes from the connecting side; connections stay open. */
   silentForward: z.boolean(),
-  /** Bytes from the listening side are lost from now on; connections stay open. */
+  /** Loses bytes from the listening side; connections stay open. */
   silentBackward: z.boolean(),
-  /** Milliseconds by which bytes are held back in each direction. */
+  /** Milliseconds by which bytes are delayed in each direction. */
   delayMs: z.number().min(0).max(60_000),
 });
 
 /** Faults in force on a link. */
 export type LinkFaults = z.infer<typeof linkFaultsSchema>;
 
-/** A link without faults. */
+/** Values of a link without faults. */
 export const NO_LINK_FAULTS: LinkFaults = {
   cut: false,
   silentForward: false,
@@ -30,7 +30,7 @@
 /** A running link. */
 export interface Link {
   readonly address: string;
-  /** Bytes lost by a silent direction so far. */
+  /** Bytes lost in silent directions so far. */
   readonly lostBytes: () => number;
   control(change: Partial<LinkFaults>): void;
   stop(): Promise<void>;
@@ -50,22 +50,22 @@
     socket.once('close', () => sockets.delete(socket));
   };
   const relay = (from: Socket, to: Socket, isSilent: () => boolean): void => {
-    const later = createOrderedDelay(() => faults.delayMs);
+    const runDelayed = createOrderedDelay(() => faults.delayMs);
     from.on('data', (chunk: Buffer) => {
       if (isSilent()) {
         lostBytes += chunk.length;
         return;
       }
-      later(() => {
+      runDelayed(() => {
         if (!to.destroyed) to.write(chunk);
       });
     });
     from.on('end', () => {
       if (isSilent()) return;
-      later(() => to.end());
+      runDelayed(() => to.end());
     });
     from.once('close', () => {
-      later(() => to.destroy());
+      runDelayed(() => to.destroy());
     });
   };
   const server: Server = createServer({ allowHalfOpen: true }, (inbound) => {
@@ -113,8 +113,8 @@
 }
 
 /**
- * Runs actions after a delay that may change meanwhile, in the order in which they came: bytes of one
- * connection never pass one another, whatever happens to the delay.
+ * Runs actions after a delay that may change, always in the order in which they were added, so that
+ * bytes of one connection are never reordered when the delay changes.
  */
 function createOrderedDelay(delayMs: () => number): (action: () => void) => void {
   const waiting: { readonly dueAt: number; readonly action: () => void }[] = [];
--- a/src/stand-ins/platform/commands.ts
+++ b/src/stand-ins/platform/commands.ts
@@ -33,7 +33,7 @@
 
   protected async run(): Promise<ExitCode> {
     const { startPlatformStandIn } = await import('./platform-stand-in.js');
-    const { waitForStopSignal } = await import('../run-until-signal.js');
+    const { waitForStopSignal } = await import('../stop-signal.js');
     const { host, port } = splitAddress(this.listen);
     const controlPort = splitAddress(this.control).port;
     const platform = await startPlatformStandIn({ host, port, controlPort, seed: this.seed });
--- a/src/stand-ins/platform/faults.ts
+++ b/src/stand-ins/platform/faults.ts
@@ -1,4 +1,4 @@
-/** Faults of the platform stand-in, switched while it runs through its control endpoint. */
+/** Faults of the platform stand-in, switched through its control endpoint while it runs. */
 import { z } from 'zod';
 import { createRandom, type Random } from '../../core/random.js';
 import { MAX_LAG_MS } from './machine-list.js';
@@ -17,29 +17,29 @@
   zone: z.string().min(1),
 });
 
-/** Fault settings; the control endpoint takes any subset. */
+/** Fault settings; the control endpoint accepts any subset. */
 export const faultsSchema = z.strictObject({
-  /** Of the key-value service; `refuse` takes the list of machines down too. */
+  /** Outage of the key-value service; `refuse` also takes the list of machines down. */
   outage: outage.default('none'),
-  /** Of the list of machines. */
+  /** Outage of the list of machines. */
   machinesOutage: outage.exclude(['refuse']).default('none'),
-  /** Added to each exchange. */
+  /** Delay of each exchange. */
   delayMs: milliseconds.default(0),
   /** Upper bound of a random addition to `delayMs`. */
   delayJitterMs: milliseconds.default(0),
-  /** Requests to the key-value service a second, with a burst of one second; 0 is no limit. */
+  /** Requests per second to the key-value service, with a burst of one second; 0 is no limit. */
   requestsPerSecond: count.default(0),
-  /** Writes whose answers are lost after their effect: the next so many. */
+  /** Number of next writes whose answers are lost after they have taken effect. */
   loseNextAnswers: count.default(0),
-  /** Loses the answer of every n-th write; 0 loses none. */
+  /** Loses the answer to every n-th write; 0 loses none. */
   loseEveryNthAnswer: count.default(0),
-  /** What the client sees of a lost answer. */
+  /** How a lost answer appears to the client. */
   lostAnswer: z.enum(['reset', 'hang', 'truncate']).default('reset'),
-  /** Answers of the key-value service that are not JSON: the next so many. */
+  /** Number of next answers of the key-value service that are not JSON. */
   garbageNextAnswers: count.default(0),
-  /** Watch streams that are cut in the middle of a line: the next so many events. */
+  /** Number of next watch events whose stream is cut in the middle of the line. */
   truncateNextEvents: count.default(0),
-  /** Age of the list of machines. */
+  /** Age of the list of machines that is served. */
   machineListLagMs: z.int().min(0).max(MAX_LAG_MS).default(0),
 });
 
@@ -50,9 +50,9 @@
 export const controlSchema = faultsSchema
   .partial()
   .extend({
-    /** Replaces the list of machines; shows after the lag. */
+    /** Replaces the list of machines; readers see it after the lag. */
     machines: z.array(machineSchema).max(10_000).optional(),
-    /** Drops the history up to the current revision and ends watches that are behind. */
+    /** Drops the history up to the current revision; new watches from before it are cancelled. */
     compact: z.boolean().optional(),
     /** Cuts all watch streams. */
     cutWatches: z.boolean().optional(),
@@ -63,9 +63,9 @@
 export type ControlRequest = z.input<typeof controlSchema>;
 
 /** What happens to the answer of one exchange. */
-export type AnswerFate = 'send' | 'garbage' | Faults['lostAnswer'];
+export type AnswerOutcome = 'send' | 'garbage' | Faults['lostAnswer'];
 
-/** Decides the fate of each exchange; the same seed and requests give the same fates. */
+/** Decides the outcome of each exchange; the same seed and requests give the same outcomes. */
 export class FaultInjector {
   faults: Faults;
   private readonly random: Random;
@@ -83,7 +83,7 @@
     this.faults = { ...this.faults, ...changes };
   }
 
-  /** Takes one token of the rate limit; false refuses the request. */
+  /** Takes one token of the rate limit; returns false if the request is to be refused. */
   takeToken(now: number): boolean {
     const limit = this.faults.requestsPerSecond;
     if (limit === 0) return true;
@@ -100,8 +100,8 @@
     return this.faults.delayMs + this.random.next() * this.faults.delayJitterMs;
   }
 
-  /** Fate of the answer to a request that has been carried out. */
-  nextFate(isWrite: boolean): AnswerFate {
+  /** Outcome of the answer to a request that has been executed. */
+  nextFate(isWrite: boolean): AnswerOutcome {
     if (this.take('garbageNextAnswers')) return 'garbage';
     if (!isWrite) return 'send';
     this.writes += 1;
@@ -110,7 +110,7 @@
     return this.take('loseNextAnswers') || isNth ? lostAnswer : 'send';
   }
 
-  /** Whether the next watch event is cut. */
+  /** Returns whether the next watch event is to be truncated. */
   takeTruncation(): boolean {
     return this.take('truncateNextEvents');
   }
--- a/src/stand-ins/platform/gateway-messages.ts
+++ b/src/stand-ins/platform/gateway-messages.ts
@@ -1,6 +1,6 @@
 /**
- * Messages of the etcd v3 JSON gateway: byte strings are base64, 64-bit numbers are text,
- * zero members are left out, names may come in either case style.
+ * Messages of the etcd v3 JSON gateway: byte strings are base64, 64-bit numbers are strings,
+ * members with zero values are omitted, and names are accepted in snake case and camel case.
  */
 import { z } from 'zod';
 import type {
@@ -72,12 +72,12 @@
   watch: z.object({ create_request: z.object({ ...rangeFields, start_revision: integer }) }),
 };
 
-/** Puts a range from its wire members. */
+/** Builds a range from its members on the wire. */
 export function toKeyRange(keys: { key: string; range_end?: string | undefined }): KeyRange {
   return keys.range_end === undefined ? { key: keys.key } : { key: keys.key, end: keys.range_end };
 }
 
-/** Renames `requestPut` to `request_put` and the like, in all objects of a body. */
+/** Renames members from camel case to snake case in all objects of a body. */
 export function toSnakeCase(value: unknown): unknown {
   if (Array.isArray(value)) return value.map(toSnakeCase);
   if (typeof value !== 'object' || value === null) return value;
@@ -96,7 +96,7 @@
   return { cluster_id: '1', member_id: '1', revision: String(revision), raft_term: '1' };
 }
 
-/** A value as the gateway writes it. */
+/** A value as the gateway encodes it. */
 export function toWireValue(stored: StoredValue): object {
   return {
     key: Buffer.from(stored.key, 'latin1').toString('base64'),
@@ -108,7 +108,7 @@
   };
 }
 
-/** An event as the gateway writes it; puts have no type member, as the zero value. */
+/** An event as the gateway encodes it; a put has no type member, as its type is the zero value. */
 export function toWireEvent({ type, keyValue }: StoreEvent): object {
   return { ...(type === 'delete' && { type: 'DELETE' }), kv: toWireValue(keyValue) };
 }
--- a/src/stand-ins/platform/gateway.ts
+++ b/src/stand-ins/platform/gateway.ts
@@ -14,7 +14,7 @@
 import type { KeyValueStore } from './key-value-store.js';
 import type { WatchStreams } from './watch-streams.js';
 
-/** gRPC status codes that the gateway answers with, and their HTTP statuses. */
+/** gRPC status codes of the gateway's error answers, and their HTTP statuses. */
 const GrpcStatus = {
   invalidArgument: { code: 3, status: 400 },
   notFound: { code: 5, status: 404 },
@@ -32,13 +32,13 @@
   }
 }
 
-/** What the gateway works on. */
+/** Dependencies of the gateway. */
 export interface GatewayOptions {
   readonly store: KeyValueStore;
   readonly injector: FaultInjector;
   readonly watches: WatchStreams;
   readonly clock: Clock;
-  /** Counts carried out requests by path. */
+  /** Counts executed requests by path. */
   readonly count: (path: string) => void;
 }
 
@@ -129,7 +129,7 @@
     try {
       const { answer, isWrite } = run(parsed.data);
       const body = JSON.stringify({ header: toHeader(store.revision), ...answer });
-      sendByFate(response, body, injector.nextFate(isWrite));
+      sendOutcome(response, body, injector.nextFate(isWrite));
     } catch (error) {
       if (!(error instanceof GatewayError)) throw error;
       sendError(response, error);
@@ -137,13 +137,13 @@
   };
 }
 
-function sendByFate(
+function sendOutcome(
   response: Response,
   body: string,
-  fate: ReturnType<FaultInjector['nextFate']>,
+  outcome: ReturnType<FaultInjector['nextFate']>,
 ): void {
   response.type('application/json');
-  switch (fate) {
+  switch (outcome) {
     case 'send':
       response.send(body);
       return;
--- a/src/stand-ins/platform/key-value-store.test.ts
+++ b/src/stand-ins/platform/key-value-store.test.ts
@@ -4,7 +4,7 @@
 
 const put = (key: string, lease = 0) => ({ type: 'put', key, value: 'eA==', lease }) as const;
 
-test('compares by mod, create and version revision', () => {
+test('compares by mod revision, create revision and version', () => {
   const store = new KeyValueStore();
   store.transact([], [put('a')], []);
   store.transact([], [put('a')], []);
@@ -26,7 +26,7 @@
   assert.equal(store.revision, 4);
 });
 
-test('a lease that lapses takes its keys along, as one revision', () => {
+test('the expiry of a lease deletes its keys in one revision', () => {
   const store = new KeyValueStore();
   const lease = store.grantLease(0, 5)!;
   store.transact([], [put('a', lease), put('b', lease), put('c')], []);
--- a/src/stand-ins/platform/key-value-store.ts
+++ b/src/stand-ins/platform/key-value-store.ts
@@ -1,12 +1,12 @@
 /**
- * A multi-version key-value store with transactions, leases and history, in memory: the
- * part of etcd v3 that sillshore uses. Keys are byte strings (latin1), values base64 text.
+ * An in-memory key-value store with revisions, transactions, leases and history: the part
+ * of etcd v3 that sillshore uses. Keys are byte strings (latin1), values are base64 strings.
  */
 
 /** A stored value with its revisions. */
 export interface StoredValue {
   readonly key: string;
-  /** Base64, never decoded here. */
+  /** Base64; the store never decodes it. */
   readonly value: string;
   readonly createRevision: number;
   readonly modRevision: number;
@@ -21,13 +21,13 @@
   readonly keyValue: StoredValue;
 }
 
-/** Keys from `key` up to and without `end`; only `key` when `end` is absent. */
+/** Keys from `key` to `end`, exclusive; only `key` if `end` is absent. */
 export interface KeyRange {
   readonly key: string;
   readonly end?: string;
 }
 
-/** A condition of a transaction; the key's number must equal `value` (0: no such key). */
+/** A condition of a transaction: the key's target number must equal `value` (0: no such key). */
 export interface StoreCompare {
   readonly key: string;
   readonly target: 'MOD' | 'CREATE' | 'VERSION';
@@ -75,7 +75,7 @@
     return { values: limit > 0 ? found.slice(0, limit) : found, count: found.length };
   }
 
-  /** Runs one list of operations, chosen by the compares, as one revision. */
+  /** Runs the success operations if all compares hold, else the failure ones, as one revision. */
   transact(
     compares: readonly StoreCompare[],
     success: readonly StoreOperation[],
@@ -90,7 +90,7 @@
     return { succeeded, results };
   }
 
-  /** Events from `fromRevision` on, oldest first. */
+  /** Returns the events from `fromRevision` on, oldest first. */
   eventsSince(fromRevision: number): readonly StoreEvent[] {
     return this.history.filter(({ keyValue }) => keyValue.modRevision >= fromRevision);
   }
@@ -109,7 +109,7 @@
     };
   }
 
-  /** Grants a lease; `wantedId` 0 lets the store choose. Returns undefined when it exists. */
+  /** Grants a lease; for `wantedId` 0 the store chooses the id. Returns undefined if it exists. */
   grantLease(now: number, ttlSeconds: number, wantedId = 0): number | undefined {
     const id = wantedId === 0 ? this.lastLease + 1 : wantedId;
     if (this.leases.has(id)) return undefined;
@@ -118,7 +118,7 @@
     return id;
   }
 
-  /** Renews a lease; returns its time to live in seconds, 0 when it has expired. */
+  /** Renews a lease; returns its time to live in seconds, or 0 if it has expired. */
   keepLeaseAlive(now: number, id: number): number {
     this.expireLeases(now);
     const lease = this.leases.get(id);
@@ -205,7 +205,7 @@
   }
 }
 
-/** Whether a key lies in a range; the end "\0" means no end, as in etcd. */
+/** Whether a key is in a range; the end "\0" means an unbounded range, as in etcd. */
 export function isInRange(key: string, { key: start, end }: KeyRange): boolean {
   if (end === undefined || end === '') return key === start;
   return key >= start && (end === '\0' || key < end);
--- a/src/stand-ins/platform/machine-list.ts
+++ b/src/stand-ins/platform/machine-list.ts
@@ -1,7 +1,7 @@
-/** The platform's list of machines; a change shows only after the lag. */
+/** The platform's list of machines; readers see a change only after the lag. */
 import type { Machine } from '../../etcd/platform-client.js';
 
-/** Longest lag that readers may ask for. */
+/** Longest lag with which the list can be read. */
 export const MAX_LAG_MS = 600_000;
 
 interface Version {
@@ -9,7 +9,7 @@
   readonly machines: readonly Machine[];
 }
 
-/** Keeps the versions of the list that may still be shown. */
+/** Keeps the versions of the list that can still be read. */
 export class MachineList {
   private versions: Version[];
 
@@ -23,7 +23,7 @@
     this.versions = [...this.versions.slice(Math.max(0, outdated)), { at: now, machines }];
   }
 
-  /** The list as it was `lagMs` ago. */
+  /** Returns the list as it was `lagMs` ago. */
   read(now: number, lagMs: number): readonly Machine[] {
     const visible = this.versions.filter(({ at }) => at <= now - lagMs);
     return (visible.at(-1) ?? this.versions[0]!).machines;
--- a/src/stand-ins/platform/platform-stand-in.ts
+++ b/src/stand-ins/platform/platform-stand-in.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in of the platform: key-value service (etcd v3 JSON gateway), list of machines at
- * `GET /machines`, and a control endpoint `/control` that switches faults while it runs. The
- * control endpoint is also served on a port of its own, which stays up during `refuse`.
+ * Stand-in for the platform: the key-value service (etcd v3 JSON gateway), the list of machines at
+ * `GET /machines`, and the endpoint `/control`, which switches faults at run time. `/control` is
+ * also served on a separate port, which stays up during the outage `refuse`.
  */
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -17,7 +17,7 @@
 const parseBody = express.json({ limit: '16mb', type: () => true });
 const LEASE_CHECK_INTERVAL_MS = 100;
 
-/** How the stand-in starts. */
+/** Options of the stand-in. */
 export interface PlatformStandInOptions {
   readonly host: string;
   /** 0 chooses a free port. */
@@ -38,9 +38,9 @@
   readonly store: KeyValueStore;
   /** Open watch streams. */
   readonly watchCount: number;
-  /** Requests so far at the key-value service and the list of machines. */
+  /** Requests to the key-value service and the list of machines so far. */
   readonly requestCount: number;
-  /** The same as `POST /control`, for use in one process. */
+  /** Does the same as `POST /control`, for use within the process. */
   control(request: ControlRequest): Promise<void>;
   close(): Promise<void>;
 }
@@ -162,7 +162,7 @@
         response.status(400).json({ code: 3, message: parsed.error.message });
         return;
       }
-      // `refuse` closes the main port with this connection, so the answer goes out first.
+      // `refuse` closes the main port and with it this connection, so the answer is sent first.
       if (onMainPort && parsed.data.outage === 'refuse') {
         response.on('finish', () => void this.control(parsed.data));
         response.json({ closing: true });
@@ -200,7 +200,7 @@
   }
 }
 
-/** Malformed JSON and oversized bodies get the gateway's form of an error. */
+/** Answers malformed JSON and oversized bodies with an error in the gateway's format. */
 const answerError: ErrorRequestHandler = (error: { status?: number }, _request, response, next) => {
   if (response.headersSent) {
     next(error);
--- a/src/stand-ins/platform/watch-streams.ts
+++ b/src/stand-ins/platform/watch-streams.ts
@@ -1,4 +1,4 @@
-/** Watch streams of the gateway: one JSON result a line, until the client or a fault ends it. */
+/** Watch streams of the gateway: one JSON result per line, until a client or a fault ends them. */
 import type { Response } from 'express';
 import type { FaultInjector } from './faults.js';
 import { toHeader, toWireEvent } from './gateway-messages.js';
@@ -9,7 +9,7 @@
   type StoreEvent,
 } from './key-value-store.js';
 
-/** Open watch streams. */
+/** The open watch streams. */
 export class WatchStreams {
   private readonly open = new Set<Response>();
 
@@ -23,7 +23,7 @@
     return this.open.size;
   }
 
-  /** Starts a stream; `fromRevision` 0 means from now on. */
+  /** Starts a stream; `fromRevision` 0 starts after the current revision. */
   start(response: Response, range: KeyRange, fromRevision: number): void {
     const start = fromRevision === 0 ? this.store.revision + 1 : fromRevision;
     response.status(200).type('application/json');
--- a/src/stand-ins/request-digest.ts
+++ b/src/stand-ins/request-digest.ts
@@ -1,7 +1,7 @@
-/** Digest by which a caller checks that an answer belongs to its own request. */
+/** Request digest, by which a caller checks that an answer belongs to its own request. */
 import { createHash } from 'node:crypto';
 
-/** Baggage member in which callers name their request; nodes pass it unchanged. */
+/** Baggage member that holds the caller's request id; nodes forward it unchanged. */
 export const CALLER_REQUEST_MEMBER = 'caller-request';
 
 /** SHA-256 of method, path and body, in hexadecimal digits. */
--- a/src/stand-ins/request-key.ts
+++ b/src/stand-ins/request-key.ts
@@ -1,4 +1,4 @@
-/** Request ids (UUIDv7, RFC 9562) for callers and for the calls of back ends. */
+/** Idempotency keys (UUIDv7, RFC 9562) for callers and for the calls of back ends. */
 import { createHash } from 'node:crypto';
 import type { Random } from '../core/random.js';
 
@@ -11,8 +11,8 @@
 }
 
 /**
- * Derives the key of a call from the key of the request that causes it, so that a repeat of
- * the request repeats the call under the same key.
+ * Derives the key of a downstream call from the key of its parent request, so that a retry of
+ * the request makes the call again under the same key.
  */
 export function deriveRequestKey(parent: string, service: string): string {
   const digest = createHash('sha256').update(`${parent}\n${service}`).digest();
--- a/src/stand-ins/run-until-signal.ts
+++ b/src/stand-ins/stop-signal.ts
@@ -1,14 +1,14 @@
-/** Life of a stand-in's process: announces its address and runs until it is told to stop. */
+/** Start and stop of a stand-in's process: its ready line and its stop signals. */
 
-/** Line that a stand-in writes to standard output once it listens. */
+/** Line that a stand-in writes to standard output as soon as it listens. */
 export interface ReadyLine {
   readonly ready: true;
   readonly address: string;
-  /** Address of the control endpoint, when it is another one. */
+  /** Address of the control endpoint, if it differs from `address`. */
   readonly control?: string;
 }
 
-/** Settles at SIGTERM or SIGINT. */
+/** Resolves on SIGTERM or SIGINT. */
 export function waitForStopSignal(): Promise<void> {
   return new Promise((resolve) => {
     process.once('SIGTERM', () => {
--- a/src/stand-ins/workload.ts
+++ b/src/stand-ins/workload.ts
@@ -1,6 +1,6 @@
 /**
- * The workload document of an example: what the callers ask for and how the back ends work.
- * It describes the stand-ins only; a node never reads it.
+ * The workload document of an example: the requests of the callers and the service times and
+ * downstream calls of the back ends. Only the stand-ins read it; a node never does.
  */
 import type { Result } from 'true-myth';
 import { z } from 'zod';
@@ -14,7 +14,7 @@
 const serviceMs = z.number().min(0.1).max(600_000);
 const sigma = z.number().min(0).max(3);
 
-/** Schema of a call on to the next service. */
+/** Schema of a downstream call. */
 export const downstreamCallSchema = z.strictObject({
   on: requestMatch.prefault({}),
   service: z.string().min(1),
@@ -23,22 +23,22 @@
   path,
 });
 
-/** Schema of a service time for some requests. */
+/** Schema of a service time that applies to some requests. */
 export const workRuleSchema = z.strictObject({ on: requestMatch, serviceMs, sigma });
 
 const streamSchema = z.strictObject({
-  /** Kind of the rules that the requests belong to; for the tables. */
+  /** Kind in the rules to which the requests belong; groups the results. */
   kind: z.string().min(1),
   service: z.string().min(1),
   host: z.string().min(1),
   method,
   path,
-  /** Mean of the Poisson arrivals. */
+  /** Mean rate of the Poisson arrivals. */
   ratePerSecond: z.number().min(0).max(10_000),
   bodyBytes: z.int().min(0).max(1_048_576).default(0),
-  /** Milliseconds that the caller waits over all its repeats. */
+  /** Time limit of the caller in milliseconds, over all its attempts. */
   patienceMs: z.int().min(1).max(600_000),
-  /** Whether requests carry an Idempotency-Key. */
+  /** Whether requests have an Idempotency-Key. */
   requestId: z.boolean().default(true),
 });
 
@@ -55,17 +55,17 @@
 export const workloadSchema = z.strictObject({
   apiVersion: z.literal('sillshore-workload/v1'),
   tenant: z.string().min(1),
-  /** Requests by which the demo measures the added latency; see docs/EXPERIMENTS.md. */
+  /** Requests with which the demo measures the added latency; see docs/EXPERIMENTS.md. */
   probe: streamSchema,
   streams: z.array(streamSchema).min(1).max(64),
   backends: z.array(backendSchema).min(1).max(500),
 });
 
-/** What an example's callers and back ends do. */
+/** Workload of an example's callers and back ends. */
 export type Workload = z.infer<typeof workloadSchema>;
 /** One stream of requests. */
 export type Stream = Workload['streams'][number];
-/** How the back ends of one service work. */
+/** Service times and downstream calls of the back ends of one service. */
 export type BackendWorkload = Workload['backends'][number];
 
 /** Parses and validates a workload document (YAML or JSON). */
