--- a/test/support/claim-fleet.ts
+++ b/test/support/claim-fleet.ts
@@ -1,4 +1,4 @@
-/** Claim tasks of several nodes under virtual time, for tests. */
+/** Claim tasks of several nodes under virtual time. */
 import assert from 'node:assert/strict';
 import type { ReplicaReply, ReplicaRequest } from '../../src/core/claim/replica-messages.js';
 import type { ClaimDecision, ClaimRequest } from '../../src/claims/claim-service.js';
@@ -11,19 +11,19 @@
 import type { PeerNetwork } from '../../src/peer/peer-network.js';
 import { InMemoryPlatform, type WriteFate } from './in-memory-platform.js';
 
-/** How a fleet is made. */
+/** Options of a fleet. */
 export interface ClaimFleetOptions {
   readonly nextWrite?: () => WriteFate;
   readonly pageBytes?: number;
   readonly wantedGroups?: number;
 }
 
-/** Time in which a fleet is ready, in milliseconds. */
+/** Time after which a fleet is ready, in milliseconds. */
 export const READY_AFTER_MS = 3_000;
-/** Virtual time passes in steps of this, in milliseconds. */
+/** Step in which virtual time advances, in milliseconds. */
 export const VIRTUAL_STEP_MS = 5;
 
-/** Nodes joined by a network, a membership view and a platform, all in memory. */
+/** Nodes with a network, a membership view and a platform, all in memory. */
 export class ClaimFleet {
   readonly clock = new ManualClock();
   readonly metrics = createMetrics(false);
@@ -43,7 +43,7 @@
     this.clock.advance(1_000_000);
   }
 
-  /** Starts a node; a started name again is a restart without memory. */
+  /** Starts a node; a name that is already in use restarts that node with empty memory. */
   start(nodeId: string, zone: string, wantedGroups?: number): ClaimTask {
     this.starts += 1;
     this.nodes.get(nodeId)?.stop();
@@ -69,7 +69,7 @@
     return task;
   }
 
-  /** Ends a node without notice; membership learns of it. */
+  /** Kills a node without notice; it disappears from the membership view. */
   kill(nodeId: string): void {
     this.nodes.get(nodeId)?.stop();
     this.nodes.delete(nodeId);
@@ -77,11 +77,11 @@
     this.zones.delete(nodeId);
   }
 
-  /** Stops all members and starts one in the next epoch, as a proposer does that dies then. */
+  /** Stops all members and installs the next epoch at one only, as a proposer that then crashes. */
   async changeOnly(nodeId: string): Promise<void> {
     const old = this.nodes.get(nodeId)!.placementOf(0)!;
     const network = this.hub.createNetwork('proposer');
-    const ask = async (to: string, request: ReplicaRequest): Promise<ReplicaReply> => {
+    const callReplica = async (to: string, request: ReplicaRequest): Promise<ReplicaReply> => {
       network.setAddress(to, to);
       const result = await this.settle(
         network.call(to, 'claimReplica', { group: 0, request }, { timeoutMs: 100 }),
@@ -94,13 +94,13 @@
       epoch: old.epoch,
       ballot: { round: 1, nodeId: 'x' },
     } as const;
-    for (const member of old.members) await ask(member.nodeId, prepare);
+    for (const member of old.members) await callReplica(member.nodeId, prepare);
     const read = { type: 'recover', epoch: old.epoch, nodeId, incarnation: 0 } as const;
     const { incarnation } = old.members.find((member) => member.nodeId === nodeId)!;
-    const reply = await ask(nodeId, { ...read, incarnation });
+    const reply = await callReplica(nodeId, { ...read, incarnation });
     assert.ok(reply.type === 'recovered');
     const record = { ...old, epoch: old.epoch + 1, fresh: false };
-    await ask(nodeId, { type: 'install', record, table: reply.memory.table });
+    await callReplica(nodeId, { type: 'install', record, table: reply.memory.table });
   }
 
   /** Delays every message between two nodes. */
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Cuts a node off from all others; membership only suspects it. */
+  /** Cuts a node off from all others; membership only marks it as suspect. */
   cut(nodeId: string): void {
     this.cutOff.add(nodeId);
     for (const other of this.zones.keys()) {
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Lets virtual time pass, with all work that falls due. */
+  /** Advances virtual time and runs the work that becomes due. */
   async pass(milliseconds: number): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += VIRTUAL_STEP_MS) {
       this.clock.advance(VIRTUAL_STEP_MS);
@@ -127,7 +127,7 @@
     }
   }
 
-  /** Awaits a promise while virtual time passes. */
+  /** Awaits a promise while virtual time advances. */
   async settle<T>(promise: Promise<T>): Promise<T> {
     let done = false;
     void promise.finally(() => (done = true));
@@ -182,7 +182,7 @@
   }
 }
 
-/** Three nodes in three zones, ready. */
+/** Creates a fleet of three nodes in three zones and waits until it is ready. */
 export async function createClaimFleet(options?: ClaimFleetOptions): Promise<ClaimFleet> {
   const fleet = new ClaimFleet(options);
   fleet.start('a', 'zone-1');
--- a/test/support/command-line.ts
+++ b/test/support/command-line.ts
@@ -3,7 +3,7 @@
 import { text } from 'node:stream/consumers';
 import { runCommandLine } from '../../src/cli/run-command-line.js';
 
-/** What a command line did. */
+/** Exit code and output of a command line. */
 export interface CommandOutcome {
   readonly exitCode: number;
   readonly stdout: string;
--- a/test/support/contract-fleets.ts
+++ b/test/support/contract-fleets.ts
@@ -1,4 +1,4 @@
-/** The deployments on which the contract tests of entry and target side run. */
+/** Deployments for the contract tests of the entry side and the target side. */
 import { DataPathFleet, type DataPathNode } from './data-path-node.js';
 import { startScriptedBackend, type ScriptedBackend } from './scripted-backend.js';
 
@@ -6,12 +6,12 @@
 export const BACKEND_DEADLINE_MS = 250;
 /** Largest answer in {@link startBackendContract}. */
 export const MAX_ANSWER_BYTES = 1_000;
-/** Time to read a request in {@link startEntryContract}, in milliseconds. */
+/** Time limit for reading a request in {@link startEntryContract}, in milliseconds. */
 export const READ_TIMEOUT_MS = 150;
 /** Largest request body in {@link startEntryContract}. */
 export const MAX_REQUEST_BYTES = 1_000;
 
-/** One target; a node that fronts it and another one. */
+/** One target, the node that fronts it (`near`) and another node (`far`). */
 export interface BackendContract {
   readonly backend: ScriptedBackend;
   readonly near: DataPathNode;
@@ -51,7 +51,7 @@
   return { backend, near, far, stop: () => stopAll(fleet, backend) };
 }
 
-/** One node with a service for callers and one for other services, on one back end. */
+/** One node with a service for callers and an internal service, both on one back end. */
 export interface EntryContract {
   readonly fleet: DataPathFleet;
   readonly backend: ScriptedBackend;
@@ -59,7 +59,7 @@
   stop(): Promise<void>;
 }
 
-/** Starts the node; /steps is idempotent, /promises is not, service `ledger` is internal. */
+/** Starts the node; /steps is idempotent, /promises is not, and service `ledger` is internal. */
 export async function startEntryContract(): Promise<EntryContract> {
   const fleet = new DataPathFleet();
   const backend = await startScriptedBackend();
--- a/test/support/data-path-node.ts
+++ b/test/support/data-path-node.ts
@@ -1,4 +1,4 @@
-/** Nodes with the real entry and target side, and all else in memory; for tests. */
+/** Nodes with the real entry side and target side; everything else is in memory. */
 import type { Container } from 'inversify';
 import { InMemoryConfigStore } from '../../src/config/in-memory-config-store.js';
 import { parseRules, type Rules } from '../../src/config/rules.js';
@@ -85,7 +85,7 @@
     return node;
   }
 
-  /** Stops all nodes at once, without a drain. */
+  /** Stops all nodes immediately, without a drain. */
   async stop(): Promise<void> {
     for (const { kernel } of this.nodes) await kernel.stop();
   }
--- a/test/support/fake-services.ts
+++ b/test/support/fake-services.ts
@@ -1,4 +1,4 @@
-/** Stand-ins in memory for the services beside the path of a call; for tests. */
+/** In-memory fakes of the services that the path of a call uses. */
 import { Result } from 'true-myth';
 import type {
   AttemptCharge,
@@ -20,7 +20,7 @@
   PeerNetwork,
 } from '../../src/peer/peer-network.js';
 
-/** The members of one fleet, seen at once by all nodes. */
+/** The members of one fleet; all nodes see a change at once. */
 export class FakeFleet {
   readonly members = new Map<string, Member>();
   readonly handlers = new Map<string, Map<string, AnyHandler>>();
@@ -84,7 +84,7 @@
 
 /** Calls between the nodes of a fleet, without a network. */
 export class FakePeerNetwork implements PeerNetwork {
-  /** Peers whose replies are lost after the call was handled. */
+  /** Peers whose replies are lost after they have handled the call. */
   readonly lossy = new Set<string>();
 
   constructor(
@@ -129,13 +129,13 @@
   answer?: HttpAnswer;
 }
 
-/** Claims and charges of one fleet, without replicas. */
+/** Claim service of one fleet, without replicas. */
 export class FakeClaimService implements ClaimService {
   private readonly records = new Map<string, ClaimRecord>();
   private readonly charges = new Map<string, number>();
-  /** Refuses everything, as when no majority answers. */
+  /** Refuses all claims while true, as if no majority replied. */
   unavailable = false;
-  /** Time for which a grant allows dispatch. */
+  /** Time after a grant during which dispatch is allowed, in milliseconds. */
   notAfterMs = 5_000;
 
   constructor(private readonly clock: Clock) {}
--- a/test/support/fault-case.ts
+++ b/test/support/fault-case.ts
@@ -1,5 +1,5 @@
 /**
- * One case of the table of faults: load, scripted faults, recovery, and the journals' verdict.
+ * One case of the fault table: load, scripted faults, recovery and a check of the journals.
  * Random schedules are in fault-run.ts.
  */
 import { setTimeout as delay } from 'node:timers/promises';
@@ -9,26 +9,26 @@
 
 /** Load before the first fault, in milliseconds. */
 const WARM_UP_MS = 800;
-/** Bound on the load of one run; it is ended as soon as the faults are over. */
+/** Longest duration of the load of one run; it is stopped as soon as the faults are over. */
 const MAX_LOAD_MS = 90_000;
-/** Load that shows whether every kind is served again, in milliseconds, and its repeats. */
-const SERVED_AGAIN_MS = 2_000;
-const SERVED_AGAIN_ROUNDS = 8;
+/** Load that checks whether every kind is served again: duration of a round and maximum of rounds. */
+const RECOVERY_LOAD_MS = 2_000;
+const MAX_RECOVERY_ROUNDS = 8;
 
-/** Callers that repeat hard: a try is given up early and repeated at the next entry. */
-const HARD_RETRIES = { tries: 5, retryDelayMs: 50, tryPatience: 0.1 } as const;
+/** Callers that retry aggressively: an attempt is abandoned early and retried at the next entry. */
+const AGGRESSIVE_RETRIES = { tries: 5, retryDelayMs: 50, tryPatience: 0.1 } as const;
 
-/** Brings faults on and ends them again; stopped nodes are started by the driver. */
+/** Starts and ends faults; {@link runFaultCase} restarts the nodes that are still stopped. */
 export type FaultScript = (deployment: Deployment) => Promise<void>;
 
-/** What a run gave. */
+/** Result of a run. */
 export interface FaultCaseResult {
   readonly report: GuaranteeReport;
-  /** Kinds without a complete answer after the faults, with what they got. */
+  /** Kinds without a complete answer after the faults, with their requests and result codes. */
   readonly notServedAgain: readonly string[];
 }
 
-/** Runs load, the faults, the recovery and the check. */
+/** Runs the load, the faults, the recovery and the check. */
 export async function runFaultCase(
   deployment: Deployment,
   seed: number,
@@ -38,7 +38,7 @@
     durationMs: MAX_LOAD_MS,
     rateFactor: RATE_FACTOR,
     seed,
-    ...HARD_RETRIES,
+    ...AGGRESSIVE_RETRIES,
   });
   await delay(WARM_UP_MS);
   try {
@@ -53,7 +53,7 @@
   return { report, notServedAgain };
 }
 
-/** Ends what still lasts, starts stopped nodes and waits until all have the rules. */
+/** Ends remaining faults, starts stopped nodes and waits until all nodes have the rules. */
 async function recover(deployment: Deployment): Promise<void> {
   await deployment.controlPlatform({ outage: 'none', machinesOutage: 'none', delayMs: 0 });
   for (const { process } of deployment.nodes) process.signal('SIGCONT');
@@ -65,8 +65,8 @@
 async function findNotServed(deployment: Deployment, seed: number): Promise<string[]> {
   let missing: string[] = deployment.plan.workload.streams.map(({ kind }) => kind);
   let answers: string[] = [];
-  for (let round = 0; round < SERVED_AGAIN_ROUNDS && missing.length > 0; round += 1) {
-    const durationMs = SERVED_AGAIN_MS;
+  for (let round = 0; round < MAX_RECOVERY_ROUNDS && missing.length > 0; round += 1) {
+    const durationMs = RECOVERY_LOAD_MS;
     const callers = await deployment.startCallers({
       durationMs,
       seed: seed + round + 1,
--- a/test/support/in-memory-peer-network.ts
+++ b/test/support/in-memory-peer-network.ts
@@ -1,7 +1,7 @@
 /**
- * Calls between nodes of one process, for tests: the same contract as the TCP network,
- * with cuts and delay per pair of nodes. Messages pass through the codec, so that a
- * receiver never shares objects with the sender.
+ * Calls between nodes of one process, with the same contract as the TCP network, and with cuts
+ * and delays per pair of nodes. Messages pass through the codec, so that a receiver never
+ * shares objects with the sender.
  */
 import { Result } from 'true-myth';
 import { createFailure, type Failure } from '../../src/core/failure.js';
@@ -28,14 +28,14 @@
 
   constructor(readonly clock: Clock) {}
 
-  /** Creates the network of one node; a second one replaces the first (a restart). */
+  /** Creates the network of one node; a second one replaces the first, as a restart does. */
   createNetwork(node: string): InMemoryPeerNetwork {
     const network = new InMemoryPeerNetwork(this, node);
     this.networks.set(node, network);
     return network;
   }
 
-  /** Removes a node, as when its process has died. */
+  /** Removes a node, as if its process had crashed. */
   remove(node: string): void {
     this.networks.delete(node);
   }
@@ -55,17 +55,17 @@
     this.delays.set(pairKey(from, to), delayMs);
   }
 
-  /** Whether messages from one node reach the other now. */
+  /** Whether messages from one node to the other are dropped. */
   isCut(from: string, to: string): boolean {
     return this.cuts.has(pairKey(from, to));
   }
 
-  /** The node's network, when it runs. */
+  /** Returns the node's network if the node runs. */
   find(node: string): InMemoryPeerNetwork | undefined {
     return this.networks.get(node);
   }
 
-  /** Runs `deliver` after the delay of the pair unless the pair is cut. */
+  /** Runs `deliver` after the delay of the pair, unless the pair is cut. */
   transfer(from: string, to: string, deliver: () => void): void {
     if (this.isCut(from, to)) return;
     const delayMs = this.delays.get(pairKey(from, to)) ?? 0;
@@ -74,7 +74,7 @@
   }
 }
 
-/** One node's view of the hub. Any address makes a node known; its text is not used. */
+/** One node's view of the hub. Setting any address makes a node known; the address is not used. */
 export class InMemoryPeerNetwork implements PeerNetwork {
   readonly handlers = new HandlerRegistry();
   private readonly known = new Set<string>();
--- a/test/support/in-memory-platform.ts
+++ b/test/support/in-memory-platform.ts
@@ -1,4 +1,4 @@
-/** PlatformClient over an in-memory store with planned faults, for tests of decision logic. */
+/** A PlatformClient over an in-memory store with planned faults. */
 import { Result } from 'true-myth';
 import { createFailure, type Failure } from '../../src/core/failure.js';
 import { ResultCode } from '../../src/core/result-code.js';
@@ -14,22 +14,22 @@
 } from '../../src/etcd/platform-client.js';
 import { KeyValueStore, type StoredValue } from '../../src/stand-ins/platform/key-value-store.js';
 
-/** What happens to one write: `late` takes effect only when {@link InMemoryPlatform.deliverLate} runs. */
+/** Outcome of a write; `late` takes effect only when {@link InMemoryPlatform.deliverLate} runs. */
 export type WriteFate = 'ok' | 'refused' | 'lost-before' | 'lost-after' | 'late';
 
-/** Fates by call; absent calls end well. */
+/** Planned outcomes of calls; a call without a plan succeeds. */
 export interface PlatformPlan {
   readonly nextWrite?: () => WriteFate;
   readonly nextReadFails?: () => boolean;
-  /** Passes each exchange through a scheduler. */
+  /** Lets a scheduler decide when each exchange continues. */
   readonly step?: () => Promise<void>;
 }
 
 /** The platform of a test; several clients may share one store. */
 export class InMemoryPlatform implements PlatformClient {
-  /** Refuses everything and loses all watches while true. */
+  /** While true, refuses all calls and delivers no events. */
   down = false;
-  /** Watches stay open and deliver nothing while true. */
+  /** While true, watches stay open and deliver no events. */
   watchesStall = false;
   machineList: readonly Machine[] = [];
   /** Reads so far. */
@@ -113,7 +113,7 @@
     for (const listener of lost) listener({ type: 'lost', failure });
   }
 
-  /** Lets the writes with fate `late` reach the store. */
+  /** Applies the writes with outcome `late` to the store. */
   deliverLate(): void {
     for (const write of this.late.splice(0)) write();
   }
--- a/test/support/node-fleet.ts
+++ b/test/support/node-fleet.ts
@@ -1,4 +1,4 @@
-/** Nodes as separate processes over one platform stand-in, without back ends; for tests. */
+/** Nodes in separate processes over one platform stand-in, without back ends. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -16,7 +16,7 @@
 const HOST = '127.0.0.1';
 const START_TIMEOUT_MS = 20_000;
 const WATCH_INTERVAL_MS = 50;
-/** Long, so that a busy machine does not look like an outage of the platform. */
+/** Long enough that a busy machine does not appear as an outage of the platform. */
 const EXCHANGE_TIMEOUT_MS = 3_000;
 
 /** A node process. */
@@ -27,12 +27,12 @@
   readonly process: ManagedProcess;
 }
 
-/** The processes and the platform. */
+/** The node processes and their platform. */
 export class NodeFleet {
   readonly nodes: FleetNode[] = [];
-  /** Every fall of a revision in force that was seen; stays empty when the product is right. */
+  /** Every observed decrease of a revision in force; empty if the nodes are correct. */
   readonly falls: string[] = [];
-  private readonly highest = new Map<FleetNode, number>();
+  private readonly highestRevisions = new Map<FleetNode, number>();
   private readonly peers: string[] = [];
   private readonly directory = mkdtempSync(join(tmpdir(), 'sillshore-'));
   private watching = true;
@@ -42,7 +42,7 @@
     readonly tenant: string,
   ) {}
 
-  /** Starts the platform and no node. */
+  /** Starts the platform without nodes. */
   static async start(tenant: string): Promise<NodeFleet> {
     const platform = await startPlatformStandIn({ host: HOST, port: 0, seed: 1 });
     const fleet = new NodeFleet(platform, tenant);
@@ -54,7 +54,7 @@
     return this.nodes.filter(({ process }) => process.running);
   }
 
-  /** Starts a node and waits until it answers operators and, when there are rules, is ready. */
+  /** Starts a node and waits until it is ready or, without rules, until its admin API answers. */
   async startNode(id: string, zone: string): Promise<FleetNode> {
     const settings = await this.createSettings(id, zone);
     const file = join(this.directory, `${id}.json`);
@@ -65,8 +65,8 @@
     this.nodes.push(node);
     this.peers.push(settings.listen.peer);
     await poll(`${id} ready`, START_TIMEOUT_MS, () => {
-      if (!process.running) throw new FatalError(`${id} ended: ${process.stderr}`);
-      // Without rules there is nothing to serve, and no node gets ready.
+      if (!process.running) throw new FatalError(`${id} exited: ${process.stderr}`);
+      // Without rules there is nothing to serve, so no node becomes ready.
       return hasRules ? node.admin.isReady() : node.admin.listMembers().then(() => true);
     });
     return node;
@@ -107,7 +107,7 @@
     });
   }
 
-  /** Reads the revision in force at each node again and again; a process may not go back. */
+  /** Polls the revision in force at each node; it must never decrease while the process runs. */
   private async watchRevisions(): Promise<void> {
     while (this.watching) {
       await Promise.all(this.running.map((node) => this.watchNode(node)));
@@ -118,11 +118,11 @@
   private async watchNode(node: FleetNode): Promise<void> {
     try {
       const revision = await node.admin.revisionInForce(this.tenant);
-      const before = this.highest.get(node) ?? 0;
-      if (revision < before) this.falls.push(`${node.id} fell from ${before} to ${revision}`);
-      this.highest.set(node, Math.max(before, revision));
+      const before = this.highestRevisions.get(node) ?? 0;
+      if (revision < before) this.falls.push(`${node.id} went back from ${before} to ${revision}`);
+      this.highestRevisions.set(node, Math.max(before, revision));
     } catch {
-      // The node starts, stops or stands still.
+      // The node is starting, stopping or suspended.
     }
   }
 }
--- a/test/support/plain-policy.ts
+++ b/test/support/plain-policy.ts
@@ -1,4 +1,4 @@
-/** The simplest overload policy, for tests of the path of a call: no queue, retries at once. */
+/** A minimal overload policy for tests of the path of a call: fixed limit, immediate retries. */
 import { registerOverloadPolicy } from '../../src/core/overload-policy-registry.js';
 import type {
   GateAction,
@@ -80,8 +80,8 @@
 
   pick(_now: number, _request: unknown, tried: readonly string[]): PickResult {
     const eligible = this.targets.filter((target) => target.eligible);
-    const fresh = eligible.find(({ id }) => !tried.includes(id)) ?? eligible[0];
-    if (fresh !== undefined) return { type: 'target', target: fresh.id };
+    const chosen = eligible.find(({ id }) => !tried.includes(id)) ?? eligible[0];
+    if (chosen !== undefined) return { type: 'target', target: chosen.id };
     const code = ResultCode.NoTargetAvailable;
     return { type: 'refuse', refusal: { code, detail: 'none', retryAfterMs: RETRY_AFTER_MS } };
   }
--- a/test/support/process-mesh.ts
+++ b/test/support/process-mesh.ts
@@ -1,5 +1,5 @@
 /**
- * A deployment whose nodes are processes of their own, as on the machines; the store and the
+ * A deployment whose nodes run in separate processes, as on the machines; the store and the
  * targets are stand-ins in the calling process.
  */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -24,7 +24,7 @@
 const PORTS_PER_NODE = 5;
 const HEARTBEAT_INTERVAL_MS = 500;
 const OK = 200;
-/** Events that tell how a planned stop went and what it cut. */
+/** Events that show the course of a planned stop and the requests that it cut. */
 const STOP_EVENTS = [
   Event.InternalError,
   Event.NodeDraining,
@@ -42,15 +42,15 @@
   readonly [field: string]: unknown;
 }
 
-/** What a deployment is made from; times in milliseconds. */
+/** Options of a deployment; times in milliseconds. */
 export interface ProcessMeshOptions {
-  /** Time from SIGTERM to SIGKILL that the nodes are told. */
+  /** Time from SIGTERM to SIGKILL in the nodes' settings. */
   readonly gracePeriodMs?: number;
-  /** Whether callers, targets and the store are reached over relays. */
+  /** Whether connections to the nodes, the targets and the store go through relays. */
   readonly relayed?: boolean;
 }
 
-/** Relays whose faults are those of a node's surroundings. */
+/** Relays around a node, which inject faults into its connections. */
 export interface MachineLinks {
   /** From callers to the node. */
   readonly callers: Link;
@@ -60,7 +60,7 @@
   readonly store: Link;
 }
 
-/** One machine: a target and the process beside it. */
+/** One machine: a target and the process of its sidecar. */
 export class ProcessMachine {
   private node: ManagedProcess | undefined;
   private readonly lines: string[] = [];
@@ -73,16 +73,16 @@
     readonly readiness: string,
     readonly registration: string,
     private readonly settingsFile: string,
-    /** Relays around the node; undefined without. */
+    /** Relays around the node, if any. */
     readonly links: MachineLinks | undefined,
   ) {}
 
-  /** Where callers reach the node. */
+  /** Address at which callers reach the node. */
   get callerAddress(): string {
     return this.links?.callers.address ?? this.entry;
   }
 
-  /** The process that runs now; throws when there is none. */
+  /** The process that was started last; throws if none was. */
   get process(): ManagedProcess {
     if (this.node === undefined) throw new Error(`${this.id} has no process`);
     return this.node;
@@ -92,7 +92,7 @@
     return this.node?.running ?? false;
   }
 
-  /** Starts the node's process; its target reports from now on. */
+  /** Starts the node's process and the heartbeats of its target. */
   start(): void {
     if (this.node !== undefined) this.lines.push(this.node.stdout, this.node.stderr);
     this.node = new ManagedProcess(
@@ -105,7 +105,7 @@
     }, HEARTBEAT_INTERVAL_MS);
   }
 
-  /** Whether the node says that it takes requests. */
+  /** Whether the node reports that it is ready. */
   async isReady(): Promise<boolean> {
     try {
       const answer = await sendRequest(this.readiness, { path: '/v1/readiness' });
@@ -115,7 +115,7 @@
     }
   }
 
-  /** Lines with this event, of all processes of this machine. */
+  /** Returns the log lines with this event, from all processes of this machine. */
   events(event: number): readonly LogLine[] {
     return this.log
       .split('\n')
@@ -123,25 +123,25 @@
       .map((line) => JSON.parse(line) as LogLine);
   }
 
-  /** What tells the end of a request or of a planned stop: lines with its identity or these events. */
+  /** Returns the log lines about a request and those of planned stops ({@link STOP_EVENTS}). */
   async explain(attemptId: string): Promise<string> {
     await this.process.ended;
-    const isTelling = (line: string): boolean =>
+    const isRelevant = (line: string): boolean =>
       line.includes(attemptId) || STOP_EVENTS.some((event) => line.includes(`"event":${event},`));
-    return this.log.split('\n').filter(isTelling).join('\n');
+    return this.log.split('\n').filter(isRelevant).join('\n');
   }
 
-  /** Whether the process that runs now, or ran last, has written anything. */
+  /** Whether the process that was started last has written anything to standard output. */
   get hasSpoken(): boolean {
     return this.process.stdout !== '';
   }
 
-  /** Everything that the processes of this machine have written. */
+  /** Output of all processes of this machine. */
   get log(): string {
     return [...this.lines, this.node?.stdout ?? '', this.node?.stderr ?? ''].join('');
   }
 
-  /** No more reports; the process is killed. */
+  /** Stops the target and the relays and kills the process. */
   async end(): Promise<ProcessEnd | undefined> {
     clearInterval(this.heartbeats);
     this.target.close();
@@ -152,7 +152,7 @@
   }
 }
 
-/** See the module comment. */
+/** The machines and the store of one deployment. */
 export class ProcessMesh {
   readonly store = new StoreStandIn();
   readonly machines: ProcessMachine[] = [];
@@ -205,12 +205,12 @@
     return machine;
   }
 
-  /** Writes the operators' document. */
+  /** Writes the operators' configuration document to the store. */
   putRules(version: number, routes: readonly RouteOptions[]): void {
     this.store.put('op/config', createRulesDocument(version, routes));
   }
 
-  /** Waits until all nodes that run say that they are ready and `path` is served by each. */
+  /** Waits until all running nodes report that they are ready and each serves every path. */
   async waitUntilServing(paths: readonly string[]): Promise<void> {
     for (const machine of this.machines) {
       if (!machine.isRunning) continue;
--- a/test/support/process-test-deployment.ts
+++ b/test/support/process-test-deployment.ts
@@ -1,5 +1,5 @@
 /**
- * Deployments for process tests. Deadlines are stretched, so that no verdict depends on the
+ * Deployments for process tests. Deadlines are extended, so that no result depends on the
  * speed of the machine.
  */
 import assert from 'node:assert/strict';
@@ -9,9 +9,9 @@
 import { Deployment } from '../../src/trials/deployment.js';
 import type { GuaranteeReport } from '../../src/trials/guarantees.js';
 
-/** Default factor on the example's deadlines and on the callers' patience. */
-const STRETCH = 10;
-/** Part of the example's load: enough for every kind, little enough for a busy machine. */
+/** Default factor by which the example's deadlines and the callers' time limits are multiplied. */
+const DEADLINE_FACTOR = 10;
+/** Fraction of the example's load: enough for every kind, and low enough for a busy machine. */
 export const RATE_FACTOR = 0.5;
 
 function stretchDeadlines(rules: Rules, stretch: number): Rules {
@@ -22,7 +22,7 @@
   return { ...rules, services };
 }
 
-function stretchPatience(workload: Workload, stretch: number): Workload {
+function stretchTimeLimits(workload: Workload, stretch: number): Workload {
   const streams = workload.streams.map((stream) => ({
     ...stream,
     patienceMs: stream.patienceMs * stretch,
@@ -30,16 +30,16 @@
   return { ...workload, streams };
 }
 
-/** Starts Recife with stretched deadlines; whoever starts it stops it. */
-export async function startTestDeployment(stretch = STRETCH): Promise<Deployment> {
+/** Starts the example `recife` with extended deadlines; the caller stops it. */
+export async function startTestDeployment(stretch = DEADLINE_FACTOR): Promise<Deployment> {
   return await Deployment.start({
     example: 'recife',
     changeRules: (rules) => stretchDeadlines(rules, stretch),
-    changeWorkload: (workload) => stretchPatience(workload, stretch),
+    changeWorkload: (workload) => stretchTimeLimits(workload, stretch),
   });
 }
 
-/** Runs `use` with a started deployment of Recife, prints the logs when it fails, stops all. */
+/** Runs `use` with a started deployment, prints the logs if it fails, and stops the deployment. */
 export async function withDeployment(
   use: (deployment: Deployment) => Promise<void>,
 ): Promise<void> {
@@ -54,14 +54,14 @@
   }
 }
 
-/** Nothing that must always hold was broken. */
+/** Asserts that no guarantee was violated. */
 export function assertGuarantees(report: GuaranteeReport): void {
   assert.deepEqual(report.violations, []);
   const { doubled, wrongAnswer, notRunButRan, aboveBound } = report;
   assert.deepEqual([doubled, wrongAnswer, notRunButRan, aboveBound], [0, 0, 0, 0]);
 }
 
-/** Every request of every kind got its complete answer; prints the tries of those that did not. */
+/** Asserts that every request got its complete answer; prints the records of those that did not. */
 export function assertAllComplete(result: CallersResult): void {
   for (const record of result.records) {
     if (record.verdict !== 'complete') console.error(`incomplete: ${JSON.stringify(record)}`);
--- a/test/support/raw-caller.ts
+++ b/test/support/raw-caller.ts
@@ -1,14 +1,14 @@
 /**
- * A caller that uses its connection until the connection is gone, whatever the answers say of it,
- * and notes for each request how it ended.
+ * A caller that uses its connection until the connection is closed, even if an answer announces the
+ * close, and records the outcome of each request.
  */
 import { connect, type Socket } from 'node:net';
 import { HOST } from '../../platform/stand-ins/rules-document.js';
 
-/** How a request ended for its caller. */
+/** Outcome of a request as its caller sees it. */
 export type RequestOutcome =
   | { readonly type: 'answered'; readonly status: number; readonly body: string }
-  /** The connection ended before the whole answer was there, or never came up. */
+  /** The connection ended before the whole answer had arrived, or was never established. */
   | {
       readonly type: 'closed';
       readonly connected: boolean;
@@ -16,7 +16,7 @@
       readonly receivedBytes: number;
     };
 
-/** One request and its end; times of the monotonic clock, in milliseconds. */
+/** One request and its outcome; times of the monotonic clock, in milliseconds. */
 export interface CallerRecord {
   readonly attemptId: string;
   readonly method: string;
@@ -35,29 +35,29 @@
   readonly body?: string;
 }
 
-interface Sent extends RawRequest {
+interface PendingRequest extends RawRequest {
   readonly sentAt: number;
   readonly onEnd: (record: CallerRecord) => void;
 }
 
-/** Time that a request and the end of its connection take past each other, in milliseconds. */
-const CROSSING_MS = 100;
+/** Time for which requests sent after the remote end are still taken as crossing it on the wire. */
+const CROSSING_GRACE_MS = 100;
 const HEAD_END = Buffer.from('\r\n\r\n');
 const NO_BODY_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
-/** One kept connection. */
+/** One keep-alive connection. */
 export class RawCaller {
   private readonly socket: Socket;
-  private readonly waiting: Sent[] = [];
+  private readonly waiting: PendingRequest[] = [];
   private chunks: Buffer[] = [];
   private receivedBytes = 0;
-  /** Bytes that the answer under way needs at least. */
+  /** Least number of received bytes at which the current answer can be complete. */
   private neededBytes = 1;
   private wasReset = false;
   private connected = false;
   private otherSideEndedAt = Infinity;
   private ended = false;
-  /** Settles when the other side has ended its half of the connection, or all of it. */
+  /** Resolves when the other side has ended its half of the connection or closed all of it. */
   readonly otherSideEnded: Promise<void>;
 
   constructor(address: string) {
@@ -80,8 +80,9 @@
         this.ended = true;
         this.otherSideEndedAt = performance.now();
         resolve();
-        // What is sent now stands for a request that crosses the end: its caller still waits.
-        setTimeout(() => this.finish(), CROSSING_MS);
+        // A request sent during this time stands for one that crosses the end on the wire, whose
+        // caller still waits.
+        setTimeout(() => this.finish(), CROSSING_GRACE_MS);
       });
       this.socket.on('close', () => {
         this.ended = true;
@@ -96,7 +97,7 @@
     return this.ended;
   }
 
-  /** Sends a request; resolves with its end. */
+  /** Sends a request; resolves with its record. */
   send(request: RawRequest): Promise<CallerRecord> {
     return new Promise((resolve) => {
       this.waiting.push({ ...request, sentAt: performance.now(), onEnd: resolve });
@@ -105,7 +106,7 @@
     });
   }
 
-  /** Stops and starts reading, as a slow reader does. */
+  /** Stops reading until {@link resume}, as a slow reader does. */
   pause(): void {
     this.socket.pause();
   }
@@ -128,7 +129,7 @@
       const body = received.subarray(head.bodyStart, head.length).toString('latin1');
       received = received.subarray(head.length);
       this.waiting.shift();
-      this.note(first, { type: 'answered', status: head.status, body });
+      this.report(first, { type: 'answered', status: head.status, body });
     }
     this.chunks = [received];
     this.receivedBytes = received.length;
@@ -137,13 +138,16 @@
   private finish(): void {
     const { receivedBytes, connected } = this;
     for (const sent of this.waiting.splice(0)) {
-      this.note(sent, { type: 'closed', connected, reset: this.wasReset, receivedBytes });
+      this.report(sent, { type: 'closed', connected, reset: this.wasReset, receivedBytes });
     }
     this.socket.destroy();
   }
 
-  /** A request that crossed the end of its connection has ended with it, or as it was sent. */
-  private note({ attemptId, method, path, sentAt, onEnd }: Sent, outcome: RequestOutcome): void {
+  /** Reports an outcome; a request that crossed the connection's end ended then, or when sent. */
+  private report(
+    { attemptId, method, path, sentAt, onEnd }: PendingRequest,
+    outcome: RequestOutcome,
+  ): void {
     const endedAt = Math.min(performance.now(), Math.max(sentAt, this.otherSideEndedAt));
     onEnd({ attemptId, method: method ?? 'GET', path, sentAt, endedAt, outcome });
   }
@@ -160,7 +164,7 @@
   return `${lines.join('\r\n')}\r\n\r\n${body ?? ''}`;
 }
 
-/** An answer's head, and the bytes up to the end of its body; the nodes always tell its length. */
+/** Parses an answer's head and computes the answer's length; nodes always send a Content-Length. */
 function parseHead(
   bytes: Buffer,
 ): { readonly status: number; readonly bodyStart: number; readonly length: number } | undefined {
@@ -168,11 +172,11 @@
   if (headEnd < 0) return undefined;
   const head = bytes.subarray(0, headEnd).toString('latin1');
   const status = Number(head.split(' ', 2)[1]);
-  const told = /\r\ncontent-length: (\d+)/i.exec(head)?.[1];
+  const contentLength = /\r\ncontent-length: (\d+)/i.exec(head)?.[1];
   const bodyStart = headEnd + HEAD_END.length;
   return {
     status,
     bodyStart,
-    length: bodyStart + (NO_BODY_STATUSES.has(status) ? 0 : Number(told)),
+    length: bodyStart + (NO_BODY_STATUSES.has(status) ? 0 : Number(contentLength)),
   };
 }
--- a/test/support/raw-http.ts
+++ b/test/support/raw-http.ts
@@ -1,4 +1,4 @@
-/** HTTP from the caller's side, by raw bytes; for contract tests. */
+/** HTTP requests and raw bytes from the caller's side, for contract tests. */
 import { Agent, request as httpRequest, type OutgoingHttpHeaders } from 'node:http';
 import { connect } from 'node:net';
 
@@ -48,7 +48,7 @@
   });
 }
 
-/** Writes raw text to a port and returns all that comes back until the connection closes. */
+/** Writes raw text to a port and returns everything received until the connection closes. */
 export function sendRaw(port: number, text: string): Promise<string> {
   return new Promise((resolve) => {
     let received = '';
--- a/test/support/sample-rules.ts
+++ b/test/support/sample-rules.ts
@@ -1,6 +1,6 @@
 /** Small valid rules documents for tests. */
 
-/** Members of the document that a test may choose. */
+/** Members of the document that a test can set. */
 export interface SampleRulesOptions {
   readonly tenant: string;
   readonly host?: string;
--- a/test/support/scripted-backend.ts
+++ b/test/support/scripted-backend.ts
@@ -1,14 +1,14 @@
-/** A back end on raw TCP whose script decides every byte; for contract tests. */
+/** A back end on raw TCP whose script controls every byte, for contract tests. */
 import { createServer, type AddressInfo, type Socket } from 'node:net';
 
-/** One received request: its head and the bytes after it, as far as they have come. */
+/** A received request and the connection on which it is answered. */
 export interface RawRequest {
   readonly head: string;
   readonly path: string;
   readonly socket: Socket;
 }
 
-/** Reacts to each request; `answerPlain` is the usual reaction. */
+/** Handles each request; `answerPlain` is the default. */
 export type BackendScript = (request: RawRequest) => void;
 
 /** A started back end. */
@@ -29,7 +29,7 @@
   socket.write(`HTTP/1.1 200 OK\r\nContent-Length: ${path.length}\r\n\r\n${path}`);
 }
 
-/** Answers with the given bytes, and closes the connection when told to. */
+/** Answers with the given bytes, and ends the connection if `end` is true. */
 export function replyWith(text: string, end = false): BackendScript {
   return ({ socket }) => {
     socket.write(text, 'latin1');
--- a/test/support/simulated-config-fleet.ts
+++ b/test/support/simulated-config-fleet.ts
@@ -1,6 +1,6 @@
 /**
  * A fleet of nodes that run the real configuration distribution over an in-memory platform,
- * peers and membership, under virtual time; zones can be cut off, nodes die and are replaced.
+ * peers and membership, under virtual time. Zones can be cut off, and nodes killed and replaced.
  */
 import { Result } from 'true-myth';
 import { ConfigDistribution } from '../../src/config/config-distribution.js';
@@ -19,15 +19,15 @@
 import type { BodyValidator, PeerCallHandler, PeerNetwork } from '../../src/peer/peer-network.js';
 import { InMemoryPlatform } from './in-memory-platform.js';
 
-/** Time after which an unheard member counts as failed. */
+/** Time since its last received facts after which a member is considered failed. */
 const FAILED_AFTER_MS = 2_000;
-/** Interval at which members exchange what they know. */
+/** Interval at which members exchange their facts. */
 const GOSSIP_INTERVAL_MS = 200;
 const STEP_MS = 50;
-/** Turns of the event loop in which the calls of one step settle. */
+/** Number of event-loop turns in which the calls of one step settle. */
 const TURNS_PER_STEP = 4;
 
-interface Heard {
+interface ReceivedFacts {
   readonly facts: MemberFacts;
   readonly at: number;
 }
@@ -41,7 +41,7 @@
   readonly repository: PlatformRulesRepository;
   /** Arguments of {@link addSeeds} so far. */
   readonly seeds: (readonly string[])[] = [];
-  private readonly heard = new Map<string, Heard>();
+  private readonly receivedFacts = new Map<string, ReceivedFacts>();
   private readonly listeners = new Set<() => void>();
   private facts: MemberFacts;
   private handler: ConfigFetchHandler | undefined;
@@ -84,7 +84,7 @@
 
   members(): readonly Member[] {
     const oldest = this.fleet.clock.now() - FAILED_AFTER_MS;
-    const others = [...this.heard.values()].filter(({ at }) => at >= oldest);
+    const others = [...this.receivedFacts.values()].filter(({ at }) => at >= oldest);
     return [this.self(), ...others.map(({ facts }): Member => ({ ...facts, state: 'alive' }))];
   }
 
@@ -111,9 +111,9 @@
     };
   }
 
-  /** Takes another node's facts in. */
-  hear({ facts }: SimulatedConfigNode): void {
-    this.heard.set(facts.nodeId, { facts, at: this.fleet.clock.now() });
+  /** Records another node's facts and notifies the listeners. */
+  receiveFacts({ facts }: SimulatedConfigNode): void {
+    this.receivedFacts.set(facts.nodeId, { facts, at: this.fleet.clock.now() });
     for (const listener of [...this.listeners]) listener();
   }
 
@@ -134,7 +134,7 @@
   setAddress(): void {}
 }
 
-/** The fleet; names of replacements are never used again. */
+/** The fleet; a replacement gets a new name, and names are never reused. */
 export class SimulatedConfigFleet {
   readonly clock = new ManualClock();
   readonly platform = new InMemoryPlatform();
@@ -161,13 +161,13 @@
     return node;
   }
 
-  /** Ends a node without a word. */
+  /** Kills a node without notice. */
   killNode(node: SimulatedConfigNode): void {
     node.distribution.stop();
     this.nodes.delete(node.id);
   }
 
-  /** Cuts a zone off from all others, or lets it back. */
+  /** Cuts a zone off from all others, or reconnects it. */
   setCut(zone: string, isCut: boolean): void {
     if (isCut) this.cutZones.add(zone);
     else this.cutZones.delete(zone);
@@ -181,7 +181,7 @@
     return [...this.nodes.values()].filter((node) => node.zone === zone);
   }
 
-  /** Moves virtual time; `onStep` runs after each step of 50 ms. */
+  /** Advances virtual time; `onStep` runs after each step of 50 ms. */
   async advance(durationMs: number, onStep: () => void = () => {}): Promise<void> {
     for (let passed = 0; passed < durationMs; passed += STEP_MS) {
       this.clock.advance(STEP_MS);
@@ -197,7 +197,7 @@
     const nodes = [...this.nodes.values()];
     for (const from of nodes) {
       for (const to of nodes) {
-        if (from !== to && this.canReach(from, to)) to.hear(from);
+        if (from !== to && this.canReach(from, to)) to.receiveFacts(from);
       }
     }
   }
--- a/test/support/tcp-peer-nodes.ts
+++ b/test/support/tcp-peer-nodes.ts
@@ -1,4 +1,4 @@
-/** Nodes joined by TCP links and a raw client, for the tests of src/peer. */
+/** Nodes with TCP peer networks, and a raw client, for the tests of src/peer. */
 import { once } from 'node:events';
 import { connect, type Socket } from 'node:net';
 import { type TestContext } from 'node:test';
@@ -98,7 +98,7 @@
   return encodeFrame(envelope, MAX_FRAME_BYTES).unwrapOr(Buffer.alloc(0));
 }
 
-/** A connection that speaks frames by hand. */
+/** A client connection that sends and receives single frames. */
 export class RawClient {
   private readonly frames: Envelope[] = [];
   private wake: () => void = () => {};
@@ -119,7 +119,7 @@
     return this.frames.shift()!;
   }
 
-  /** Authenticates as a node with the right key. */
+  /** Authenticates as node `raw` with the correct key. */
   async authenticate(): Promise<void> {
     const clientNonce = createNonce();
     this.socket.write(encode(createHelloFrame({ node: 'raw', to: 'node-b', nonce: clientNonce })));
--- a/test/support/test-admin.ts
+++ b/test/support/test-admin.ts
@@ -1,4 +1,4 @@
-/** An administration server over parts in memory, for the tests of the API and of the commands. */
+/** An administration server over in-memory parts, for the tests of the API and of the commands. */
 import { Result } from 'true-myth';
 import type { RevisionRecord } from '../../src/config/config-store.js';
 import { InMemoryConfigStore } from '../../src/config/in-memory-config-store.js';
@@ -45,7 +45,7 @@
   return JSON.stringify({ apiVersion: 'sillshore/v1', tenant, services: [service] });
 }
 
-/** Settings of the test node; every port is any free one. */
+/** Creates the settings of the test node; every port is any free one. */
 export function createTestSettings(): Settings {
   const settings = validateSettings({
     node: { id: 'a1', zone: 'zone-a', region: 'recife' },
@@ -59,12 +59,12 @@
   });
 }
 
-/** The platform's accepted revisions in memory; accepted ones are in force at once. */
+/** The accepted revisions of the platform, in memory; an accepted revision is in force at once. */
 export class FakeRulesRepository implements RulesRepository {
   readonly revisions: RevisionRecord[] = [];
-  /** Failures of the next calls of `apply`; `applied` has the change take effect all the same. */
+  /** Failures of the next calls of `apply`; with `applied` the change takes effect nevertheless. */
   readonly failures: { readonly failure: Failure; readonly applied: boolean }[] = [];
-  /** Calls of `apply` so far. */
+  /** Number of calls of `apply` so far. */
   applies = 0;
 
   constructor(private readonly store: InMemoryConfigStore) {}
@@ -141,7 +141,7 @@
   };
 }
 
-/** A fixed fleet: the test node, and b1 in another zone. */
+/** Membership of a fixed fleet: the test node a1, and b1 in another zone. */
 export class FakeMembership implements Membership {
   others: Member[] = [createMember('b1', 'zone-b')];
 
@@ -172,7 +172,7 @@
   }
 }
 
-/** A running test server with the parts behind it. */
+/** A running test server and its parts. */
 export interface TestAdmin {
   readonly url: string;
   readonly port: number;
@@ -181,13 +181,13 @@
   readonly repository: FakeRulesRepository;
   readonly membership: FakeMembership;
   readonly metrics: Metrics;
-  /** Drain commands that the target side got, as `guide-1 true`. */
+  /** Drain commands that the target side received, such as `guide-1 true`. */
   readonly drained: string[];
-  /** Planned stops asked for. */
+  /** Number of requested planned stops. */
   readonly stops: { count: number };
 }
 
-/** An administration node over parts in memory, and what it did. */
+/** An administration node over in-memory parts, and the parts. */
 export type TestNode = Omit<TestAdmin, 'url' | 'port' | 'server'> & { readonly node: AdminNode };
 
 /** Creates the node behind an administration server; `parts` replaces parts of it. */
