--- a/src/emulator/attempt-end.ts
+++ b/src/emulator/attempt-end.ts
@@ -1,12 +1,12 @@
-/** Ends of attempts as the calling side sees them. */
+/** Ends of attempts as the calling node sees them. */
 import type { Refusal } from '../core/overload.js';
 import type { AttemptOutcome, LoadReport } from '../core/request.js';
 import { ResultCode } from '../core/result-code.js';
 
-/** The end of one attempt, as the calling node learns it. */
+/** The end of one attempt, as reported to the calling node. */
 export interface AttemptEnd {
   readonly outcome: AttemptOutcome;
-  /** Whether a complete answer came and it was not an error answer. */
+  /** Whether a complete answer arrived that was not an error answer. */
   readonly complete: boolean;
   readonly code: ResultCode;
   readonly load: LoadReport | undefined;
@@ -15,7 +15,7 @@
   readonly attemptsUsed: number;
 }
 
-/** No answer came: everything that was granted counts as used. */
+/** Creates the end of an attempt without an answer; all granted attempts count as used. */
 export function unanswered(
   outcome: 'timeout' | 'failed',
   code: ResultCode,
@@ -26,7 +26,7 @@
   return { outcome, complete: false, code, load, retryAfterMs, mayHaveRun: true, attemptsUsed };
 }
 
-/** The refusal of a call whose attempts are used up. */
+/** Creates the refusal of a call whose attempts are used up. */
 export function attemptsExhausted(): Refusal {
   return { code: ResultCode.AttemptsExhausted, detail: 'no attempts left', retryAfterMs: 0 };
 }
--- a/src/emulator/back-end.ts
+++ b/src/emulator/back-end.ts
@@ -1,7 +1,7 @@
 /**
- * Model of one back end: slots, a first-in-first-out queue before them, service time with
- * slowdown and cold start, shedding, drain and death. A request holds its slot while the
- * back end waits for the calls that it makes.
+ * Model of one back end: slots with a first-in-first-out queue, service time with slowdown and
+ * cold start, shedding, drain and crash. A request holds its slot while the back end waits for
+ * the calls that it makes.
  */
 import type { Random } from '../core/random.js';
 import type { ServiceKind } from './deployment.js';
@@ -14,17 +14,17 @@
 /** One request inside a back end. */
 export interface BackEndJob {
   readonly kind: ServiceKind;
-  /** Starts the downstream calls; `done` tells whether all succeeded. */
+  /** Starts the downstream calls; calls `done` with whether all succeeded. */
   startCalls(done: (succeeded: boolean) => void): void;
   /** Cancels the downstream calls that are running. */
   cancelCalls(): void;
-  /** The answer is complete (or the error answer after a failed call). */
+  /** Called when the answer, or the error answer after a failed call, is complete. */
   onAnswer(succeeded: boolean): void;
-  /** Refused, not run. */
+  /** Called when the request was refused and not run. */
   onRefused(reason: BackEndRefusal): void;
-  /** The process died, or reset the connection, with the request in it. */
+  /** Called when the process crashed or reset the connection before the answer. */
   onReset(): void;
-  /** The slot was held for this long. */
+  /** Called with the time for which the slot was held. */
   onSlotReleased(heldMs: number): void;
 }
 
@@ -37,10 +37,10 @@
 /** State of a back end's process. */
 export type BackEndState = 'serving' | 'draining' | 'dead';
 
-/** Time after which a resetting back end drops a connection, in milliseconds. */
+/** Time until a back end that resets connections closes one, in milliseconds. */
 const RESET_DELAY_MS = 1;
 
-/** A back end. */
+/** An emulated back end. */
 export class EmulatedBackEnd {
   state: BackEndState = 'serving';
   /** Whether answers say that the back end is leaving. */
@@ -49,9 +49,9 @@
   slowdown = 1;
   /** Share of requests whose connection is reset at once (a fault). */
   resetShare = 0;
-  /** Share of requests that are run and then reset before their answer (a fault). */
+  /** Share of requests that run, but whose connection is reset before the answer (a fault). */
   lostAnswerShare = 0;
-  /** Queue length from which requests are shed; `Infinity` never sheds. */
+  /** Queue length from which requests are shed; `Infinity` disables shedding. */
   shedAbove = Infinity;
   private coldUntil = 0;
   private coldFactor = 1;
@@ -75,7 +75,7 @@
     return this.running.size;
   }
 
-  /** Takes a request, or refuses it. */
+  /** Runs, queues, resets or refuses a request. */
   accept(job: BackEndJob): void {
     if (this.state === 'dead') {
       job.onRefused('unreachable');
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Drops a request whose client closed the connection. */
+  /** Drops a request whose caller closed the connection. */
   cancel(job: BackEndJob): void {
     if (this.waiting.delete(job)) return;
     const running = this.running.get(job);
@@ -104,7 +104,7 @@
     this.releaseSlot(running);
   }
 
-  /** Ends the process; every request in it is reset. */
+  /** Kills the process; every request in it is reset. */
   kill(): void {
     this.state = 'dead';
     const jobs = [...this.waiting, ...this.running.keys()];
@@ -118,7 +118,7 @@
     for (const job of jobs) job.onReset();
   }
 
-  /** Starts the process; its service time falls from `coldFactor` times to normal. */
+  /** Starts the process; its service time falls linearly from `coldFactor` times to normal. */
   start(coldFactor: number, warmUpMs: number): void {
     this.state = 'serving';
     this.announcesLeaving = false;
@@ -127,7 +127,7 @@
     this.coldUntil = this.queue.now() + warmUpMs;
   }
 
-  /** Current factor of a cold start. */
+  /** Current factor on the service time after a cold start. */
   private warmUpFactor(): number {
     const left = this.coldUntil - this.queue.now();
     if (left <= 0) return 1;
--- a/src/emulator/caller-request.ts
+++ b/src/emulator/caller-request.ts
@@ -1,13 +1,13 @@
-/** One caller's request with its repeats, up to its single end. */
+/** One request of a caller with its retries, until it ends. */
 import type { CallersOptions } from './callers-options.js';
 import { EmulatedCall } from './emulated-call.js';
 import type { EmulatedNode } from './emulated-node.js';
 import type { ScheduledEvent } from './event-queue.js';
 import type { CallEnd, RequestEnd, RequestRecord } from './request-record.js';
-import type { World } from './world.js';
+import type { SimulationContext } from './simulation-context.js';
 
-/** One try: a connection to an entry node and the call made there. */
-interface Try {
+/** One sending of the request: a connection to an entry node and the call made there. */
+interface CallerAttempt {
   readonly deadline: number;
   readonly timer: ScheduledEvent;
   granted: number;
@@ -18,32 +18,32 @@
 
 /** A caller's request. */
 export class CallerRequest {
-  private tries = 0;
-  private current: Try | undefined;
-  /** End of the caller's patience, in virtual milliseconds. */
-  private readonly patienceEnd: number;
+  private callerAttempts = 0;
+  private current: CallerAttempt | undefined;
+  /** Time at which the caller gives up, in virtual milliseconds. */
+  private readonly requestDeadline: number;
 
   constructor(
-    private readonly world: World,
+    private readonly simulation: SimulationContext,
     private readonly options: CallersOptions,
     private readonly record: RequestRecord,
     private readonly zoneIndex: number,
     /** In [0, 1): picks one of the zone's nodes. */
     private readonly choice: number,
   ) {
-    this.patienceEnd = record.sentAt + record.kind.root.kind.deadlineMs;
+    this.requestDeadline = record.sentAt + record.kind.root.kind.deadlineMs;
   }
 
-  /** Sends the request, now or again. */
-  startTry(): void {
+  /** Sends the request, for the first time or as a retry. */
+  startAttempt(): void {
     if (this.record.end !== undefined) return;
-    const { queue, deployment } = this.world;
+    const { queue, deployment } = this.simulation;
     const waitMs = this.record.kind.root.kind.deadlineMs * this.options.behaviour.tryTimeoutShare;
-    const deadline = Math.min(queue.now() + waitMs, this.patienceEnd);
+    const deadline = Math.min(queue.now() + waitMs, this.requestDeadline);
     const timer = queue.scheduleAt(deadline, () => {
-      this.onTryTimeout();
+      this.onAttemptTimeout();
     });
-    const current: Try = {
+    const current: CallerAttempt = {
       deadline,
       timer,
       granted: 0,
@@ -51,7 +51,7 @@
       abandoned: false,
       settled: false,
     };
-    this.tries += 1;
+    this.callerAttempts += 1;
     this.current = current;
     const node = this.options.entryNode(this.zoneIndex, this.choice);
     if (node === undefined) return;
@@ -61,19 +61,19 @@
   }
 
   /** The request arrives at its entry node. */
-  private enter(node: EmulatedNode, current: Try): void {
-    const { record, world } = this;
+  private enter(node: EmulatedNode, current: CallerAttempt): void {
+    const { record, simulation } = this;
     current.granted = record.attemptsLeft;
-    if (world.profile.sharesAttempts) record.attemptsLeft = 0;
-    current.call = new EmulatedCall(world, node, {
+    if (simulation.profile.sharesAttempts) record.attemptsLeft = 0;
+    current.call = new EmulatedCall(simulation, node, {
       site: record.kind.root,
       record,
       attempts: current.granted,
       deadline: current.deadline,
       onEnd: (end) => {
-        this.settleAttempts(current);
-        world.queue.schedule(world.deployment.clientDelayMs, () => {
-          if (!current.abandoned) this.onTryEnd(end);
+        this.returnUnusedAttempts(current);
+        simulation.queue.schedule(simulation.deployment.clientDelayMs, () => {
+          if (!current.abandoned) this.onAttemptEnd(end);
         });
       },
     });
@@ -81,61 +81,61 @@
   }
 
   /**
-   * Gives back what a try was granted and did not use, once; a try that was broken off has used all
-   * that is still under way. Repeats of a request that may take effect once only do not share a
-   * budget; the claim of its key bounds them.
+   * Returns the attempts that a caller attempt was granted and did not use, once. Grants still in
+   * progress when a caller attempt is abandoned count as used. Retries of a non-idempotent request
+   * do not share a budget; the claim of its idempotency key bounds them.
    */
-  private settleAttempts(ended: Try): void {
-    if (ended.settled || !this.world.profile.sharesAttempts) return;
+  private returnUnusedAttempts(ended: CallerAttempt): void {
+    if (ended.settled || !this.simulation.profile.sharesAttempts) return;
     ended.settled = true;
     const { idempotent } = this.record.kind.root.kind;
     const used = idempotent ? (ended.call?.attemptsUsed ?? 0) : 0;
     this.record.attemptsLeft += Math.max(0, ended.granted - used);
   }
 
-  private onTryEnd(end: CallEnd): void {
+  private onAttemptEnd(end: CallEnd): void {
     if (this.record.end !== undefined) return;
     if (this.current !== undefined) this.current.timer.cancelled = true;
     this.current = undefined;
     this.record.mayHaveRun ||= end.mayHaveRun;
     if (end.result === 'complete') this.end('complete');
-    else this.repeatOrEnd(end.result, end.retryAfterMs);
+    else this.retryOrEnd(end.result, end.retryAfterMs);
   }
 
-  private onTryTimeout(): void {
+  private onAttemptTimeout(): void {
     if (this.record.end !== undefined) return;
-    this.abandonTry();
-    // Whether a lost try has run is unknown, so only an idempotent request is repeated.
+    this.abandonAttempt();
+    // Whether the abandoned attempt has run is unknown, so only an idempotent request is retried.
     this.record.mayHaveRun = true;
-    this.repeatOrEnd('timeout', undefined);
+    this.retryOrEnd('timeout', undefined);
   }
 
-  /** Closes the connection of the current try. */
-  private abandonTry(): void {
+  /** Closes the connection of the current caller attempt. */
+  private abandonAttempt(): void {
     const abandoned = this.current;
     this.current = undefined;
     if (abandoned === undefined) return;
     abandoned.abandoned = true;
     abandoned.timer.cancelled = true;
-    this.world.queue.schedule(this.world.deployment.clientDelayMs, () => {
+    this.simulation.queue.schedule(this.simulation.deployment.clientDelayMs, () => {
       const { call } = abandoned;
       if (call === undefined) return;
       call.cancel();
-      this.settleAttempts(abandoned);
+      this.returnUnusedAttempts(abandoned);
     });
   }
 
-  private repeatOrEnd(end: RequestEnd, retryAfterMs: number | undefined): void {
+  private retryOrEnd(end: RequestEnd, retryAfterMs: number | undefined): void {
     const { behaviour } = this.options;
-    const repeatable = this.record.kind.root.kind.idempotent || !this.record.mayHaveRun;
-    const told = behaviour.honoursRetryAfter ? (retryAfterMs ?? 0) : 0;
-    const at = this.world.queue.now() + Math.max(behaviour.backoffMs, told);
-    if (this.tries >= behaviour.tries || !repeatable || at >= this.patienceEnd) {
+    const retryable = this.record.kind.root.kind.idempotent || !this.record.mayHaveRun;
+    const requestedDelayMs = behaviour.honoursRetryAfter ? (retryAfterMs ?? 0) : 0;
+    const retryAt = this.simulation.queue.now() + Math.max(behaviour.backoffMs, requestedDelayMs);
+    if (this.callerAttempts >= behaviour.tries || !retryable || retryAt >= this.requestDeadline) {
       this.end(end);
       return;
     }
-    this.world.queue.scheduleAt(at, () => {
-      this.startTry();
+    this.simulation.queue.scheduleAt(retryAt, () => {
+      this.startAttempt();
     });
   }
 
@@ -143,6 +143,6 @@
     if (this.record.end !== undefined) return;
     if (this.current !== undefined) this.current.timer.cancelled = true;
     this.record.end = end;
-    this.world.recorder.onEnd(this.record, end);
+    this.simulation.recorder.onEnd(this.record, end);
   }
 }
--- a/src/emulator/callers-options.ts
+++ b/src/emulator/callers-options.ts
@@ -1,21 +1,21 @@
-/** How callers behave, and what they need of the run. */
+/** Options of the emulated callers. */
 import type { EmulatedNode } from './emulated-node.js';
 
-/** How callers repeat a request. */
+/** How callers retry a request. */
 export interface CallerBehaviour {
-  /** Most tries of one request, the first included. */
+  /** Maximum number of caller attempts of one request, the first included. */
   readonly tries: number;
-  /** Part of the kind's deadline that one try waits before it is repeated. */
+  /** Timeout of one caller attempt, as a share of the kind's deadline. */
   readonly tryTimeoutShare: number;
-  /** Wait before a repeat, in milliseconds. */
+  /** Delay before a retry, in milliseconds. */
   readonly backoffMs: number;
-  /** Whether a repeat waits for the retry time of a refusal. */
+  /** Whether a retry waits for the retry time that a refusal gives. */
   readonly honoursRetryAfter: boolean;
-  /** Time after which callers know that their zone is lost, in milliseconds. */
+  /** Time until callers notice that their zone is lost, in milliseconds. */
   readonly failoverMs: number;
 }
 
-/** What the callers need of the run. */
+/** Load, timing and entry nodes of the callers of one run. */
 export interface CallersOptions {
   readonly behaviour: CallerBehaviour;
   readonly seed: number;
@@ -23,8 +23,8 @@
   readonly rateOf: (kindIndex: number, now: number) => number;
   /** Highest rate of a kind over the run. */
   readonly peakRateOf: (kindIndex: number) => number;
-  /** No request is sent from here on. */
+  /** Time from which no new request is sent. */
   readonly endMs: number;
-  /** The node a caller of a zone uses now, or `undefined` when its zone has just been lost. */
+  /** Returns the entry node for a caller of a zone; `undefined` while it sends into a lost zone. */
   readonly entryNode: (zoneIndex: number, choice: number) => EmulatedNode | undefined;
 }
--- a/src/emulator/callers.ts
+++ b/src/emulator/callers.ts
@@ -1,13 +1,13 @@
 /**
- * Model of the callers: open-loop Poisson arrivals by kind, patience, and repeats that may
- * or may not honour a retry time.
+ * Model of the callers: open-loop Poisson arrivals by kind, timeouts, and retries that may or
+ * may not honour a retry time.
  */
 import type { Random } from '../core/random.js';
 import { CallerRequest } from './caller-request.js';
 import type { CallersOptions } from './callers-options.js';
-import { createRecord } from './recorder.js';
+import { createRequestRecord } from './recorder.js';
 import { createStream, sampleExponential } from './sampling.js';
-import type { World } from './world.js';
+import type { SimulationContext } from './simulation-context.js';
 
 /** All callers of a run. */
 export class Callers {
@@ -15,7 +15,7 @@
   private readonly choices: Random;
 
   constructor(
-    private readonly world: World,
+    private readonly simulation: SimulationContext,
     private readonly options: CallersOptions,
   ) {
     this.choices = createStream(options.seed, 'callers');
@@ -23,31 +23,44 @@
 
   /** Schedules the first arrival of each kind. */
   start(): void {
-    for (const kindIndex of this.world.deployment.kinds.keys()) {
+    for (const kindIndex of this.simulation.deployment.kinds.keys()) {
       const random = createStream(this.options.seed, `arrivals ${kindIndex}`);
       this.scheduleArrival(kindIndex, random);
     }
   }
 
-  /** Poisson process of changing rate, by thinning one of the highest rate (Lewis and Shedler). */
+  /**
+   * Poisson process with a variable rate, by thinning one with the peak rate (Lewis and Shedler).
+   */
   private scheduleArrival(kindIndex: number, random: Random): void {
     const peak = this.options.peakRateOf(kindIndex);
     if (peak <= 0) return;
-    const { queue } = this.world;
+    const { queue } = this.simulation;
     queue.schedule(sampleExponential(random, 1_000 / peak), () => {
       if (queue.now() >= this.options.endMs) return;
       const accepted = random.next() * peak < this.options.rateOf(kindIndex, queue.now());
-      if (accepted) this.sendNew(kindIndex);
+      if (accepted) this.sendRequest(kindIndex);
       this.scheduleArrival(kindIndex, random);
     });
   }
 
-  private sendNew(kindIndex: number): void {
-    const kind = this.world.deployment.kinds[kindIndex]!;
+  private sendRequest(kindIndex: number): void {
+    const kind = this.simulation.deployment.kinds[kindIndex]!;
     this.sent += 1;
-    const record = createRecord(`r${this.sent}`, kind, kindIndex, this.world.queue.now());
-    this.world.recorder.onSent(record);
-    const zoneIndex = this.choices.nextInt(this.world.deployment.zones.length);
-    new CallerRequest(this.world, this.options, record, zoneIndex, this.choices.next()).startTry();
+    const record = createRequestRecord(
+      `r${this.sent}`,
+      kind,
+      kindIndex,
+      this.simulation.queue.now(),
+    );
+    this.simulation.recorder.onSent(record);
+    const zoneIndex = this.choices.nextInt(this.simulation.deployment.zones.length);
+    new CallerRequest(
+      this.simulation,
+      this.options,
+      record,
+      zoneIndex,
+      this.choices.next(),
+    ).startAttempt();
   }
 }
--- a/src/emulator/capacity-bound.test.ts
+++ b/src/emulator/capacity-bound.test.ts
@@ -46,7 +46,7 @@
 const RECIFE = readExampleDeployment('recife');
 const NORMAL = normalConditions(RECIFE);
 
-test('a slot is held during the calls below', () => {
+test('a slot is held during downstream calls', () => {
   const step = RECIFE.kinds.find(({ name }) => name === 'script-step')!;
   const times = [...slotTimes(RECIFE, step.root, NORMAL)].map(([service, ms]) => [
     service,
@@ -59,10 +59,10 @@
   ]);
 });
 
-test('at the capacity the whole demand fits, above it the less critical kinds give way', () => {
+test('the whole demand fits at capacity; above it the more critical kinds come first', () => {
   const rates = capacityRates(RECIFE);
   assert.deepEqual(round(goodputBound(RECIFE, NORMAL, rates, true)), round(rates));
-  // Ten times the demand of everything: promises (critical) leave nothing for history queries.
+  // At ten times the demand of every kind, promises (critical) leave nothing for history queries.
   const demand = rates.map((rate) => rate * 10);
   const bound = goodputBound(RECIFE, NORMAL, demand, true);
   const byName = new Map(RECIFE.kinds.map(({ name }, index) => [name, bound[index]!]));
--- a/src/emulator/capacity-bound.ts
+++ b/src/emulator/capacity-bound.ts
@@ -1,10 +1,10 @@
 /**
- * Upper bound of the goodput that a deployment can give; see docs/design/emulator.md.
+ * Upper bound of the goodput that a deployment can reach; see docs/design/emulator.md.
  *
  * A request of a kind holds a slot of each service on its path for a mean time that follows
  * from the unloaded service times below it. A service has `targets * slots` slots. The bound
- * is the linear program: most requests per second, no service holding more slots than it has,
- * no kind above its demand. Classes are weighted so that the more important come first.
+ * is a linear program: it maximises requests per second, where no service holds more slots than
+ * it has and no kind exceeds its demand. Weights make the more important classes come first.
  */
 import { rankOf } from '../core/request.js';
 import type { CallSite, Deployment } from './deployment.js';
@@ -15,7 +15,7 @@
 const CLASS_WEIGHT = 100;
 const LOWEST_RANK = 3;
 
-/** Part of its capacity that a service has, and the factor on its service time. */
+/** Available capacity of a service at one time. */
 export interface ServiceCondition {
   /** Slots of all targets that can serve. */
   readonly slots: number;
@@ -36,7 +36,7 @@
   );
 }
 
-/** Slot time that one request of a kind holds at each service, in milliseconds. */
+/** Returns the slot time that one request of a kind holds at each service, in milliseconds. */
 export function slotTimes(
   deployment: Deployment,
   root: CallSite,
@@ -55,16 +55,19 @@
   return times;
 }
 
-/** Least time of a call besides the callee's slot time: back end, node, back end, and back. */
+/**
+ * Minimum time of a call besides the callee's slot time: from back end to node to back end and
+ * back, six local delays in total.
+ */
 function callOverheadMs(deployment: Deployment): number {
   return 6 * deployment.localDelayMs;
 }
 
 /**
- * Goodput bound per kind, in requests per second.
+ * Returns the goodput bound per kind, in requests per second.
  *
  * @param demand requests per second by kind
- * @param prioritised whether more important classes come first; else all count alike
+ * @param prioritised whether more important classes come first; otherwise all count the same
  */
 export function goodputBound(
   deployment: Deployment,
@@ -88,18 +91,21 @@
   });
 }
 
-/** Requests per second by kind at the highest load of the kinds' own mix that fits (1x). */
+/**
+ * Returns the requests per second by kind at load 1x, the highest that fits with the kinds' own
+ * mix.
+ */
 export function capacityRates(deployment: Deployment): number[] {
   const conditions = normalConditions(deployment);
   const shares = deployment.kinds.map(({ share }) => share);
   const perKind = deployment.kinds.map(({ root }) => slotTimes(deployment, root, conditions));
-  let unit = Infinity;
+  let loadFactor = Infinity;
   for (const { name } of deployment.services) {
     const held = perKind.reduce(
       (sum, times, kind) => sum + (shares[kind]! * (times.get(name) ?? 0)) / MS_PER_SECOND,
       0,
     );
-    if (held > 0) unit = Math.min(unit, conditions.get(name)!.slots / held);
+    if (held > 0) loadFactor = Math.min(loadFactor, conditions.get(name)!.slots / held);
   }
-  return shares.map((share) => share * unit);
+  return shares.map((share) => share * loadFactor);
 }
--- a/src/emulator/connection-pool.ts
+++ b/src/emulator/connection-pool.ts
@@ -1,13 +1,13 @@
 /**
- * Connections of a node to one target, as an HTTP agent keeps them: idle ones are used
- * again, a new one costs time, and beyond the limit a request waits for one.
+ * Model of the HTTP connections of a node to one target. Idle connections are reused, opening a
+ * new one takes time, and at the limit requests wait for a free one.
  */
 import type { EventQueue } from './event-queue.js';
 
-/** Calls back once a connection is there. */
+/** Called once when a connection is available. */
 export type ConnectionWaiter = () => void;
 
-/** A pool with a bound. */
+/** A bounded pool of connections. */
 export class ConnectionPool {
   private open = 0;
   private idle = 0;
@@ -24,7 +24,7 @@
     return this.waiters.size;
   }
 
-  /** Calls `waiter` once with a connection. */
+  /** Calls `waiter` once when a connection is available. */
   acquire(waiter: ConnectionWaiter): void {
     if (this.idle > 0) {
       this.idle -= 1;
@@ -37,12 +37,12 @@
     }
   }
 
-  /** Withdraws a waiter; tells whether it was still waiting. */
+  /** Withdraws a waiter; returns whether it was still waiting. */
   withdraw(waiter: ConnectionWaiter): boolean {
     return this.waiters.delete(waiter);
   }
 
-  /** Gives a connection back; `reusable` is false when it was closed. */
+  /** Returns a connection to the pool; `reusable` is false when it was closed. */
   release(reusable: boolean): void {
     if (reusable) this.idle += 1;
     else this.open -= 1;
--- a/src/emulator/deployment.ts
+++ b/src/emulator/deployment.ts
@@ -7,10 +7,10 @@
   readonly region: string;
 }
 
-/** Distribution of a target's own work. */
+/** Distribution of a target's service time. */
 export type ServiceTimeShape = 'lognormal' | 'exponential';
 
-/** One service with equal targets. */
+/** One service; its targets have equal capacity. */
 export interface ServiceModel {
   readonly name: string;
   /** Requests that one target serves at once. */
@@ -31,31 +31,31 @@
 /** A kind of request at one service. */
 export interface ServiceKind {
   readonly name: string;
-  /** Milliseconds that a caller may wait. */
+  /** Maximum time that a caller waits, in milliseconds. */
   readonly deadlineMs: number;
   /** Bound on attempts at and below the service. */
   readonly attempts: number;
   readonly idempotent: boolean;
   /** Mean of a target's own work, in milliseconds, downstream calls not included. */
   readonly serviceTimeMs: number;
-  /** Deviation of the logarithm of the service time (lognormal). */
+  /** Standard deviation of the logarithm of the service time (lognormal). */
   readonly serviceTimeSigma: number;
   readonly serviceTimeShape: ServiceTimeShape;
 }
 
-/** One call of a request's tree: a service and the calls that its target makes. */
+/** One call in a request's call tree: a service and the calls that its target makes. */
 export interface CallSite {
   readonly service: string;
   /** Kind of the call at the service. */
   readonly kind: ServiceKind;
   /** Position in the tree, unique; 0 is the caller's own call. */
   readonly index: number;
-  /** Hops above this call; 0 for the caller's own. */
+  /** Hops above this call; 0 for the caller's own call. */
   readonly depth: number;
   /** Calls made after the target's own work, in order, or all at once when `parallel`. */
   readonly calls: readonly CallSite[];
   readonly parallel: boolean;
-  /** Calls at and below this one. */
+  /** Number of calls at and below this one. */
   readonly size: number;
 }
 
@@ -68,7 +68,7 @@
   readonly root: CallSite;
 }
 
-/** In place of a number of nodes: a node beside each target, as sidecars stand. */
+/** Value of `nodesPerZone` that gives each target its own node, as sidecars do. */
 export const ONE_PER_TARGET = 'one-per-target';
 
 /** A whole deployment. */
@@ -86,7 +86,7 @@
   readonly localDelayMs: number;
   /** Cost of a new connection to a target, in milliseconds. */
   readonly connectMs: number;
-  /** Nodes of each zone, among which its targets are shared. */
+  /** Nodes of each zone; the zone's targets are spread evenly over them. */
   readonly nodesPerZone: number | typeof ONE_PER_TARGET;
   /** Whether each node uses a subset of the targets of a large service. */
   readonly subsets: boolean;
@@ -116,7 +116,7 @@
   return build(tree, 0);
 }
 
-/** Finds a service; an unknown name is a defect of the deployment. */
+/** Finds a service; throws when the deployment has none of that name. */
 export function findService(deployment: Deployment, name: string): ServiceModel {
   const service = deployment.services.find((candidate) => candidate.name === name);
   if (service === undefined) throw new Error(`deployment has no service ${name}`);
--- a/src/emulator/dispatched-job.ts
+++ b/src/emulator/dispatched-job.ts
@@ -3,10 +3,10 @@
 import { ResultCode } from '../core/result-code.js';
 import type { BackEndJob, BackEndRefusal } from './back-end.js';
 import type { ServiceKind } from './deployment.js';
-import { DownstreamCalls, type CallingSide } from './downstream-calls.js';
-import type { IncomingAttempt, World } from './world.js';
+import { DownstreamCalls, type ParentTargetSide } from './downstream-calls.js';
+import type { IncomingAttempt, SimulationContext } from './simulation-context.js';
 
-/** How a back end ended a job; told after the delay between back end and node. */
+/** Receives the end of a job, after the delay between back end and node. */
 export interface JobEndListener {
   onAnswer(attempt: IncomingAttempt, succeeded: boolean, failureCode: ResultCode): void;
   onRefused(attempt: IncomingAttempt, reason: BackEndRefusal): void;
@@ -18,8 +18,8 @@
   private calls: DownstreamCalls | undefined;
 
   constructor(
-    private readonly world: World,
-    private readonly side: CallingSide,
+    private readonly simulation: SimulationContext,
+    private readonly side: ParentTargetSide,
     private readonly attempt: IncomingAttempt,
     private readonly ledger: AttemptLedger,
     private readonly serviceIndex: number,
@@ -35,7 +35,7 @@
       done(true);
       return;
     }
-    this.calls = new DownstreamCalls(this.world, this.side, this.attempt, this.ledger);
+    this.calls = new DownstreamCalls(this.simulation, this.side, this.attempt, this.ledger);
     this.calls.start(done);
   }
 
@@ -44,29 +44,29 @@
   }
 
   onAnswer(succeeded: boolean): void {
-    this.later(() => {
+    this.afterLocalDelay(() => {
       const failureCode = this.calls?.lastFailureCode ?? ResultCode.Ok;
       this.listener.onAnswer(this.attempt, succeeded, failureCode);
     });
   }
 
   onRefused(reason: BackEndRefusal): void {
-    this.later(() => {
+    this.afterLocalDelay(() => {
       this.listener.onRefused(this.attempt, reason);
     });
   }
 
   onReset(): void {
-    this.later(() => {
+    this.afterLocalDelay(() => {
       this.listener.onReset(this.attempt);
     });
   }
 
   onSlotReleased(heldMs: number): void {
-    this.world.recorder.addSlotTime(this.attempt.record, this.serviceIndex, heldMs);
+    this.simulation.recorder.addSlotTime(this.attempt.record, this.serviceIndex, heldMs);
   }
 
-  private later(run: () => void): void {
-    this.world.queue.schedule(this.world.deployment.localDelayMs, run);
+  private afterLocalDelay(run: () => void): void {
+    this.simulation.queue.schedule(this.simulation.deployment.localDelayMs, run);
   }
 }
--- a/src/emulator/emulated-call.ts
+++ b/src/emulator/emulated-call.ts
@@ -1,6 +1,6 @@
 /**
- * The calling side of one call at one node: entry admission, target choice, attempts,
- * retries. It does under virtual time what `src/entry` does on sockets.
+ * One call that a node routes: entry admission, target choice, attempts and retries. It models in
+ * virtual time what `src/entry` does on sockets.
  */
 import { AttemptBudget } from '../core/attempt-budget.js';
 import type { Refusal, RetryState, ServiceRouter } from '../core/overload.js';
@@ -12,10 +12,10 @@
 import type { ScheduledEvent } from './event-queue.js';
 import type { CallEnd, RequestRecord } from './request-record.js';
 import { UnsharedAttempts } from './unshared-attempts.js';
-import type { AttemptReceiver, IncomingAttempt, World } from './world.js';
+import type { AttemptReceiver, IncomingAttempt, SimulationContext } from './simulation-context.js';
 
-/** Bound on tries of one call at one hop, as in `src/entry/routed-call.ts`. */
-const MAX_TRIES = 16;
+/** Maximum number of attempts of one call at one hop, as in `src/entry/routed-call.ts`. */
+const MAX_ATTEMPTS = 16;
 
 /** One call to make. */
 export interface CallOptions {
@@ -48,36 +48,36 @@
   private ended = false;
 
   constructor(
-    private readonly world: World,
+    private readonly simulation: SimulationContext,
     private readonly node: EmulatedNode,
     private readonly options: CallOptions,
   ) {
     const { site, attempts } = options;
     this.router = node.router(site.service, this.now());
-    this.budget = world.profile.sharesAttempts
-      ? new AttemptBudget(attempts, world.needOf(site.service))
+    this.budget = simulation.profile.sharesAttempts
+      ? new AttemptBudget(attempts, simulation.needOf(site.service))
       : new UnsharedAttempts();
     this.context = this.createContext();
   }
 
-  /** Attempts spent so far, grants that have not come back included. */
+  /** Attempts used so far, grants that are not settled yet included. */
   get attemptsUsed(): number {
     return this.budget.used;
   }
 
-  /** Begins with entry admission. */
+  /** Starts the call with entry admission. */
   start(): void {
     const { record, site } = this.options;
     record.reachedSites[site.index] = 1;
     this.node.calls.add(this);
     const refusal = this.router.admit(this.now(), this.context);
-    if (refusal === undefined) this.tryNext();
-    else this.endRefused(refusal, 'admission');
+    if (refusal === undefined) this.startNextAttempt();
+    else this.finishRefused(refusal, 'admission');
   }
 
-  /** The caller went away. */
+  /** Cancels the call when its caller disconnected, if the policy's data path cancels. */
   cancel(): void {
-    if (this.ended || !this.world.profile.cancels) return;
+    if (this.ended || !this.simulation.profile.cancels) return;
     this.ended = true;
     this.node.calls.delete(this);
     const attempt = this.current;
@@ -86,14 +86,14 @@
     this.reportOutcome(attempt, 'cancelled');
   }
 
-  /** The node that makes the call is gone; nobody hears of it again. */
+  /** Drops the call without a result, because the node that makes it is lost. */
   discard(): void {
     this.ended = true;
     if (this.current !== undefined) this.current.timer.cancelled = true;
     this.current = undefined;
   }
 
-  /** Ends the current attempt when its target's node was lost. */
+  /** Ends the current attempt when its target's node is in the lost zone. */
   onZoneLost(zone: string): void {
     const attempt = this.current;
     if (attempt?.side.node.zone !== zone) return;
@@ -101,60 +101,62 @@
   }
 
   private now(): number {
-    return this.world.queue.now();
+    return this.simulation.queue.now();
   }
 
   private createContext(): RequestContext {
     const { site, record, deadline } = this.options;
     const { kind } = site;
-    const layered = this.now() + kind.deadlineMs;
+    const ownDeadline = this.now() + kind.deadlineMs;
     return {
       requestId: record.id,
-      tenant: this.world.deployment.tenant,
+      tenant: this.simulation.deployment.tenant,
       service: site.service,
       kind: kind.name,
-      // A call of a back end is as important as the caller's request.
+      // A back end's calls have the criticality of the caller's request.
       criticality: record.kind.criticality,
-      deadline: this.world.profile.propagatesDeadline ? Math.min(deadline, layered) : layered,
+      deadline: this.simulation.profile.propagatesDeadline
+        ? Math.min(deadline, ownDeadline)
+        : ownDeadline,
       idempotent: kind.idempotent,
       depth: site.depth,
     };
   }
 
-  private tryNext(): void {
+  private startNextAttempt(): void {
     if (this.ended) return;
     const granted = this.budget.grant();
     if (granted === 0) {
-      this.endRefused(attemptsExhausted(), 'attempts');
+      this.finishRefused(attemptsExhausted(), 'attempts');
       return;
     }
     const pick = this.router.pick(this.now(), this.context, this.tried);
     if (pick.type === 'refuse') {
       this.budget.settle(granted, 0);
-      this.endRefused(pick.refusal, 'routing');
+      this.finishRefused(pick.refusal, 'routing');
       return;
     }
     this.sendAttempt(pick.target, granted);
   }
 
   private sendAttempt(target: string, granted: number): void {
-    // Without a common deadline each attempt has a timeout of its own.
-    if (!this.world.profile.propagatesDeadline) this.context = this.createContext();
+    // Without deadline propagation each attempt has its own timeout.
+    if (!this.simulation.profile.propagatesDeadline) this.context = this.createContext();
     const { site, record } = this.options;
-    const side = this.world.targetSide(target);
+    const side = this.simulation.targetSide(target);
     const incoming: IncomingAttempt = {
-      id: this.world.nextAttemptId(),
+      id: this.simulation.nextAttemptId(),
       site,
       record,
       context: this.context,
       granted,
       reply: (end) => {
-        this.world.send(side.node.zone, this.node.zone, () => {
+        this.simulation.send(side.node.zone, this.node.zone, () => {
           if (this.current === attempt) this.onAttemptEnd(attempt, end);
         });
       },
     };
-    const timer = this.world.queue.scheduleAt(this.context.deadline, () => {
+    const timer = this.simulation.queue.scheduleAt(this.context.deadline, () => {
       this.onTimeout(attempt);
     });
     const attempt: CurrentAttempt = {
@@ -167,22 +169,22 @@
     };
     this.current = attempt;
     this.tried.push(target);
-    this.world.send(this.node.zone, side.node.zone, () => {
+    this.simulation.send(this.node.zone, side.node.zone, () => {
       side.receive(incoming);
     });
   }
 
   private onTimeout(attempt: CurrentAttempt): void {
-    if (this.world.profile.cancels) this.abandon(attempt, 'timeout');
+    if (this.simulation.profile.cancels) this.abandon(attempt, 'timeout');
     const end = unanswered('timeout', ResultCode.DeadlineExceeded, attempt.granted);
     this.onAttemptEnd(attempt, end);
   }
 
-  /** Withdraws an attempt; its message follows the attempt on the same link. */
+  /** Cancels an attempt; the message takes the same link, so it arrives after the attempt. */
   private abandon(attempt: CurrentAttempt, outcome: 'cancelled' | 'timeout'): void {
     attempt.timer.cancelled = true;
     const { side, incoming } = attempt;
-    this.world.send(this.node.zone, side.node.zone, () => {
+    this.simulation.send(this.node.zone, side.node.zone, () => {
       side.cancel(incoming, outcome);
     });
   }
@@ -220,7 +222,7 @@
       mayHaveRun: this.mayHaveRun,
       ...(end.retryAfterMs === undefined ? {} : { retryAfterMs: end.retryAfterMs }),
     };
-    if (this.world.profile.sharesAttempts && this.isOver(end)) {
+    if (this.simulation.profile.sharesAttempts && this.isRetryRuledOut(end)) {
       this.giveUp(end, end.retryAfterMs);
       return;
     }
@@ -233,10 +235,10 @@
     }
   }
 
-  /** Whether the data path allows no further attempt, whatever the policy says. */
-  private isOver(end: AttemptEnd): boolean {
-    const mayRepeat = this.context.idempotent || !end.mayHaveRun;
-    return !mayRepeat || this.budget.remaining < 1 || this.tried.length >= MAX_TRIES;
+  /** Whether the data path forbids another attempt, whatever the policy decides. */
+  private isRetryRuledOut(end: AttemptEnd): boolean {
+    const mayRetry = this.context.idempotent || !end.mayHaveRun;
+    return !mayRetry || this.budget.remaining < 1 || this.tried.length >= MAX_ATTEMPTS;
   }
 
   private giveUp(end: AttemptEnd, retryAfterMs: number | undefined): void {
@@ -246,22 +248,25 @@
   }
 
   private retryAfter(delayMs: number): void {
-    if (this.world.profile.propagatesDeadline && this.now() + delayMs >= this.context.deadline) {
+    if (
+      this.simulation.profile.propagatesDeadline &&
+      this.now() + delayMs >= this.context.deadline
+    ) {
       this.finish('timeout', ResultCode.DeadlineExceeded);
       return;
     }
     if (delayMs <= 0) {
-      this.tryNext();
+      this.startNextAttempt();
       return;
     }
-    this.world.queue.schedule(delayMs, () => {
-      this.tryNext();
+    this.simulation.queue.schedule(delayMs, () => {
+      this.startNextAttempt();
     });
   }
 
-  private endRefused(refusal: Refusal, place: 'admission' | 'routing' | 'attempts'): void {
+  private finishRefused(refusal: Refusal, place: 'admission' | 'routing' | 'attempts'): void {
     const { record, site } = this.options;
-    this.world.recorder.onRefusal(record, site, place, refusal.code);
+    this.simulation.recorder.onRefusal(record, site, place, refusal.code);
     this.finish(this.mayHaveRun ? 'failed' : 'refused', refusal.code, refusal.retryAfterMs);
   }
 
--- a/src/emulator/emulated-node.ts
+++ b/src/emulator/emulated-node.ts
@@ -1,22 +1,22 @@
-/** An emulated node: the calling side's routers, made when a service is first called. */
+/** An emulated node: routers for outgoing calls, created when a service is first called. */
 import type { OverloadPolicy, ServiceRouter, TargetView } from '../core/overload.js';
 import { deriveSeed } from './sampling.js';
 
-/** What a node knows of the targets of a service. */
-export type ViewOf = (service: string) => readonly TargetView[];
+/** Returns the targets of a service as a node sees them. */
+export type TargetViewProvider = (service: string) => readonly TargetView[];
 
-/** A call that a node routes, as faults of machines and zones act on it. */
+/** A call that a node routes, as seen by faults of machines and zones. */
 export interface RoutedCall {
-  /** The machine is gone, and the call with it. */
+  /** The node's machine is lost, and the call with it. */
   discard(): void;
-  /** The zone of the call's target may be gone. */
+  /** A zone is lost; it may be that of the call's target. */
   onZoneLost(zone: string): void;
 }
 
 /** One node. */
 export class EmulatedNode {
   private readonly routers = new Map<string, ServiceRouter>();
-  /** Calls that this node routes now. */
+  /** Calls in progress that this node routes. */
   readonly calls = new Set<RoutedCall>();
 
   constructor(
@@ -25,10 +25,10 @@
     private readonly region: string,
     private readonly policy: OverloadPolicy,
     private readonly seed: number,
-    private readonly viewOf: ViewOf,
+    private readonly viewOf: TargetViewProvider,
   ) {}
 
-  /** The router of a service on this node. */
+  /** Returns the router of a service on this node. */
   router(service: string, now: number): ServiceRouter {
     let router = this.routers.get(service);
     if (router === undefined) {
@@ -41,17 +41,19 @@
     return router;
   }
 
-  /** Gives the routers of a service its targets as they are seen now. */
+  /** Updates the targets of a service's router to the current view. */
   updateTargets(service: string, now: number): void {
     this.routers.get(service)?.updateTargets(now, this.viewOf(service));
   }
 
-  /** Admission threshold of a service for a kind, as this node knows it. */
+  /** Returns the admission threshold of a service for a kind, as this node knows it. */
   threshold(service: string, kind: string, now: number): number {
     return this.routers.get(service)?.threshold(now, kind) ?? 0;
   }
 
-  /** The machine is gone with all calls in it; a new node takes its place later. */
+  /**
+   * Discards all calls and routers when the machine is lost; a replacement node reuses this object.
+   */
   stop(): void {
     for (const call of this.calls) call.discard();
     this.calls.clear();
--- a/src/emulator/event-queue.ts
+++ b/src/emulator/event-queue.ts
@@ -1,9 +1,9 @@
 /**
- * Virtual time: a heap of events. Events of equal time run in the order in which they were
+ * Event queue of virtual time, a heap. Events of equal time run in the order in which they were
  * scheduled, so that a run depends on nothing but its seed.
  *
- * Four children per node and times in an array of their own: the heap is deep with timers
- * that mostly get cancelled, and comparing times must not follow pointers.
+ * The heap is deep, since it holds many timers that are mostly cancelled. Four children per node
+ * make it flatter, and times in a separate array are compared without following pointers.
  */
 
 /** A scheduled event; set `cancelled` to make it do nothing. */
@@ -17,7 +17,7 @@
 
 const CHILDREN = 4;
 
-/** Events in virtual time. */
+/** Runs events in virtual time. */
 export class EventQueue {
   private readonly times: number[] = [];
   private readonly events: ScheduledEvent[] = [];
@@ -35,7 +35,7 @@
     return this.executed;
   }
 
-  /** Schedules `run` after `delayMs`; negative delays count as none. */
+  /** Schedules `run` after `delayMs`; a negative delay counts as 0. */
   schedule(delayMs: number, run: () => void): ScheduledEvent {
     const at = delayMs > 0 ? this.current + delayMs : this.current;
     this.created += 1;
--- a/src/emulator/example-deployments.ts
+++ b/src/emulator/example-deployments.ts
@@ -1,6 +1,6 @@
 /**
- * The deployments of `examples/`, read from the same rules and workload documents as the
- * nodes and the stand-ins use, so that there is one source.
+ * The deployments of `examples/`, read from the rules and workload documents that nodes and
+ * stand-ins also use, so that each figure is defined in one place.
  */
 import { readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
@@ -21,7 +21,7 @@
   type ServiceKind,
 } from './deployment.js';
 
-/** Delays that neither document holds, one way, in milliseconds. */
+/** One-way delays in milliseconds, which neither document contains. */
 interface NetworkDelays {
   readonly zoneDelayMs: number;
   readonly clientDelayMs: number;
@@ -40,7 +40,7 @@
 /** Names of the example deployments. */
 export const EXAMPLE_NAMES: readonly string[] = [...NETWORKS.keys()];
 
-/** Reads an example's deployment; a broken example is a defect. */
+/** Reads the deployment of an example; throws when the example is unknown or invalid. */
 export function readExampleDeployment(name: string): Deployment {
   const network = NETWORKS.get(name);
   if (network === undefined) throw new Error(`no example ${name}`);
@@ -90,7 +90,7 @@
   };
 }
 
-/** What identifies a call in the documents. */
+/** Identifies a call in the documents. */
 interface CallReference {
   readonly service: string;
   readonly method: string;
--- a/src/emulator/experiment-files.ts
+++ b/src/emulator/experiment-files.ts
@@ -1,8 +1,8 @@
-/** The files that an experiment leaves: raw results as JSON, plots as SVG. */
+/** Output files of an experiment: raw results as JSON, plots as SVG. */
 import { mkdir, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import type { ExperimentResult } from './experiment.js';
-import { plotGoodput, plotTimeLines } from './plots.js';
+import { plotGoodput, plotTimeSeries } from './plots.js';
 
 /** Writes the files and returns their paths. */
 export async function writeExperimentFiles(
@@ -13,7 +13,7 @@
   const { name } = result.scenario;
   const files: [string, string][] = [
     [`${name}.json`, encodeResult(result)],
-    [`${name}-time.svg`, await plotTimeLines(result)],
+    [`${name}-time.svg`, await plotTimeSeries(result)],
     [`${name}-goodput.svg`, await plotGoodput(result)],
   ];
   const paths: string[] = [];
@@ -25,7 +25,7 @@
   return paths;
 }
 
-/** Encodes a result as JSON; a recovery that never came is `null`. */
+/** Encodes a result as JSON; the recovery time is `null` when goodput has not recovered. */
 export function encodeResult(result: unknown): string {
   return JSON.stringify(result, undefined, 1);
 }
--- a/src/emulator/experiment.test.ts
+++ b/src/emulator/experiment.test.ts
@@ -73,7 +73,7 @@
 
 const SHAPE = { regions: 2, fanOut: 1, kinds: 8, seed: 1 };
 
-test('synthetic fleets have the size that was asked for', () => {
+test('synthetic fleets have the requested size', () => {
   for (const size of [
     { targets: 1_000, services: 80, zones: 7, depth: 9 },
     { targets: 10, services: 3, zones: 1, depth: 2 },
@@ -87,7 +87,7 @@
   }
 });
 
-test('a synthetic fleet with fan-out has bounded trees', () => {
+test('call trees of a synthetic fleet with fan-out are bounded', () => {
   const shape = { ...SHAPE, targets: 100, services: 40, zones: 3, depth: 9, fanOut: 3 };
   for (const { root } of createSyntheticFleet(shape).kinds) {
     assert.ok(root.size > 9 && root.size <= 24, `${root.size} calls`);
--- a/src/emulator/experiment.ts
+++ b/src/emulator/experiment.ts
@@ -1,4 +1,4 @@
-/** An experiment: every policy with every seed of a scenario, and the summary over the seeds. */
+/** Runs every policy of a scenario with every seed and summarises the results over the seeds. */
 import { type ProgressListener, runAll } from './run-pool.js';
 import type { KindResult, RunResult } from './run-result.js';
 import type { Scenario } from './scenario.js';
@@ -14,7 +14,7 @@
   readonly refused: Spread;
   readonly failed: Spread;
   readonly timeout: Spread;
-  /** Complete requests over those that the capacity bound allows. */
+  /** Complete requests divided by those that the capacity bound allows. */
   readonly boundRatio: Spread;
   readonly p50Ms: Spread;
   readonly p99Ms: Spread;
@@ -31,16 +31,16 @@
   readonly criticalRatio: Spread;
   readonly unrankedRatio: Spread;
   readonly attemptsPerCall: Spread;
-  /** Highest of all seeds. */
+  /** Highest value of all seeds. */
   readonly maxAttemptsPerCall: number;
-  /** Milliseconds; `Infinity` stands for not recovered. Absent without a cause. */
+  /** In milliseconds; `Infinity` means not recovered. Absent without a cause. */
   readonly recoveryMs?: Spread;
   /** Completed requests per sent request before the cause. */
   readonly levelBefore?: Spread;
-  /** Requests that caused more attempts than their kind allows, over all seeds. */
+  /** Whether a request of any seed caused more attempts than its kind allows. */
   readonly overAttemptsBound: boolean;
   readonly kinds: readonly KindSummary[];
-  /** Slot time by service, medians of shares. */
+  /** Median shares of the slot time, by service. */
   readonly services: readonly {
     readonly service: string;
     readonly useful: number;
@@ -61,9 +61,9 @@
 }
 
 /**
- * Runs an experiment; the same scenario gives the same result, whatever the number of jobs.
+ * Runs an experiment; the same scenario gives the same result with any number of jobs.
  *
- * @param jobs runs at a time
+ * @param jobs maximum number of concurrent runs
  */
 export async function runExperiment(
   scenario: Scenario,
--- a/src/emulator/faults.ts
+++ b/src/emulator/faults.ts
@@ -10,13 +10,13 @@
 
 function scheduleFault(simulation: Simulation, scenario: Scenario, fault: Fault): void {
   const { queue } = simulation;
-  const between = (begin: () => void, end: () => void) => {
+  const schedulePeriod = (begin: () => void, end: () => void) => {
     queue.scheduleAt(fault.fromMs, begin);
     queue.scheduleAt(fault.toMs, end);
   };
   switch (fault.type) {
     case 'slow':
-      between(
+      schedulePeriod(
         () => {
           for (const side of sidesOf(simulation, fault)) side.backEnd.slowdown = fault.factor;
         },
@@ -26,7 +26,7 @@
       );
       break;
     case 'shedding':
-      between(
+      schedulePeriod(
         () => {
           for (const side of sidesOf(simulation, fault)) side.backEnd.shedAbove = fault.queueAbove;
         },
@@ -42,7 +42,7 @@
       scheduleDrain(simulation, scenario, fault);
       break;
     case 'zone-loss':
-      between(
+      schedulePeriod(
         () => {
           simulation.loseZone(fault.zone);
         },
@@ -55,7 +55,7 @@
       scheduleMisleadingHealth(simulation, fault);
       break;
     case 'lost-answers':
-      between(
+      schedulePeriod(
         () => {
           for (const side of sidesOf(simulation, fault)) side.backEnd.lostAnswerShare = fault.share;
         },
@@ -65,7 +65,7 @@
       );
       break;
     case 'platform-outage':
-      // Its effect is on the delay of the list of machines; see listedAt.
+      // It only delays the list of machines; see listedAt.
       break;
   }
 }
@@ -89,7 +89,10 @@
   }
 }
 
-/** The list of machines tells of an absence later, unless it was over before it was told. */
+/**
+ * Removes a target from the list of machines and adds it back, each after the list's delay; an
+ * absence that is over before it would show is left out.
+ */
 function scheduleListing(
   simulation: Simulation,
   scenario: Scenario,
@@ -107,7 +110,10 @@
   });
 }
 
-/** When the list of machines shows a change made at `at`: after its lag, and not in an outage. */
+/**
+ * Time at which the list of machines shows a change made at `at`: after its lag, and not during an
+ * outage.
+ */
 export function listedAt(scenario: Scenario, at: number): number {
   let shown = at + scenario.machineListLagMs;
   const outages = scenario.faults
--- a/src/emulator/linear-program.ts
+++ b/src/emulator/linear-program.ts
@@ -1,10 +1,10 @@
 /** A small linear program solved by the simplex method with Bland's rule. */
 
-/** Maximise `objective · x` subject to `rows[i] · x <= bounds[i]` and `x >= 0`. */
+/** Maximises `objective · x` subject to `rows[i] · x <= bounds[i]` and `x >= 0`. */
 export interface LinearProgram {
   readonly objective: readonly number[];
   readonly rows: readonly (readonly number[])[];
-  /** Not negative, so that x = 0 is a solution to start from. */
+  /** Not negative, so that x = 0 is a feasible start. */
   readonly bounds: readonly number[];
 }
 
@@ -20,11 +20,11 @@
     const column = findEnteringColumn(tableau);
     if (column === undefined) return readSolution(tableau, basis, variables);
     const row = findLeavingRow(tableau, basis, column);
-    if (row === undefined) throw new Error('linear program has no bound');
+    if (row === undefined) throw new Error('linear program is unbounded');
     pivot(tableau, row, column);
     basis[row] = column;
   }
-  throw new Error('linear program did not end');
+  throw new Error('linear program exceeded the maximum number of pivots');
 }
 
 /** One row per constraint with its slack variable and bound; the last row is the objective. */
--- a/src/emulator/load-profile.ts
+++ b/src/emulator/load-profile.ts
@@ -1,4 +1,4 @@
-/** Requests per second by kind over time. */
+/** Rates at which callers send requests, by kind and time. */
 import type { Deployment } from './deployment.js';
 import type { Scenario } from './scenario.js';
 import { capacityRates } from './capacity-bound.js';
@@ -14,7 +14,7 @@
 /** Load of a scenario: multiples of the capacity, or rates by kind with surges as factors. */
 export function createLoadProfile(load: Scenario['load'], deployment: Deployment): LoadProfile {
   const { ratesPerSecond } = load;
-  const unit =
+  const unitRates =
     ratesPerSecond === undefined
       ? capacityRates(deployment)
       : deployment.kinds.map(({ name }) => ratesPerSecond[name] ?? 0);
@@ -23,7 +23,7 @@
     load.surges.find(({ fromMs, toMs }) => now >= fromMs && now < toMs)?.multiple ?? base;
   const peak = Math.max(base, ...load.surges.map(({ multiple }) => multiple));
   return {
-    rateOf: (kindIndex, now) => unit[kindIndex]! * multipleAt(now),
-    peakRateOf: (kindIndex) => unit[kindIndex]! * peak,
+    rateOf: (kindIndex, now) => unitRates[kindIndex]! * multipleAt(now),
+    peakRateOf: (kindIndex) => unitRates[kindIndex]! * peak,
   };
 }
--- a/src/emulator/lost-runs.test.ts
+++ b/src/emulator/lost-runs.test.ts
@@ -1,6 +1,7 @@
 /**
- * A wide call graph whose last service takes two thirds of what is asked for: a request that needs the last
- * service runs at three others first. Refused there, its work above is lost.
+ * Guards against lost runs in a wide call graph whose last service has capacity for two thirds of
+ * the demand. A request runs at three other services before it calls the last one; when that one
+ * refuses it, the runs at the others are lost.
  */
 import assert from 'node:assert/strict';
 import { before, test } from 'node:test';
@@ -21,16 +22,16 @@
 load: { ratesPerSecond: { script-step: 813, promise-log: 1008, call-pack: 139.5, faq-read: 748.5 } }
 callers: { tries: 2, honoursRetryAfter: true }
 `;
-/** Share of the begun runs that may fail below. */
-const MOST_LOST = 0.01;
+/** Maximum share of the started requests that may fail downstream. */
+const MAX_LOST_SHARE = 0.01;
 
-let present: RunResult;
-let without: RunResult;
+let adaptiveRun: RunResult;
+let variantRun: RunResult;
 
 before(() => {
   const scenario = parseScenario(SCENARIO).unwrapOr(undefined) as Scenario;
-  present = runScenario(scenario, 'adaptive', 1);
-  without = runScenario(scenario, 'adaptive-without-lost-runs', 1);
+  adaptiveRun = runScenario(scenario, 'adaptive', 1);
+  variantRun = runScenario(scenario, 'adaptive-without-lost-runs', 1);
 });
 
 function endsOfSteps({ kinds }: RunResult): { lost: number; complete: number; lostShare: number } {
@@ -38,20 +39,23 @@
   return { lost: failed, complete, lostShare: failed / (failed + complete) };
 }
 
-function seen(): string {
-  const [one, other] = [endsOfSteps(present), endsOfSteps(without)];
+function describeCounts(): string {
+  const [one, other] = [endsOfSteps(adaptiveRun), endsOfSteps(variantRun)];
   return `${one.lost} lost and ${one.complete} complete, ${other.lost} and ${other.complete} without`;
 }
 
-test('fewer than half as many begun runs are lost, and no fewer requests complete', () => {
-  assert.ok(endsOfSteps(present).lost < endsOfSteps(without).lost / 2, seen());
-  assert.ok(present.goodputRatio >= without.goodputRatio, seen());
+test('fewer than half as many started runs are lost, and no fewer requests complete', () => {
+  assert.ok(endsOfSteps(adaptiveRun).lost < endsOfSteps(variantRun).lost / 2, describeCounts());
+  assert.ok(adaptiveRun.goodputRatio >= variantRun.goodputRatio, describeCounts());
 });
 
-test('what is more important is served as before', () => {
-  assert.ok(present.criticalRatio >= without.criticalRatio - MOST_LOST, seen());
+test('more important requests are served as before', () => {
+  assert.ok(
+    adaptiveRun.criticalRatio >= variantRun.criticalRatio - MAX_LOST_SHARE,
+    describeCounts(),
+  );
 });
 
-test('what is begun ends while the last service of a wide call graph is short', () => {
-  assert.ok(endsOfSteps(present).lostShare <= MOST_LOST, seen());
+test('started requests complete while the last service of a wide call graph is overloaded', () => {
+  assert.ok(endsOfSteps(adaptiveRun).lostShare <= MAX_LOST_SHARE, describeCounts());
 });
--- a/src/emulator/phases.ts
+++ b/src/emulator/phases.ts
@@ -1,27 +1,27 @@
-/** Phases of a scenario with constant conditions, for the capacity bound. */
+/** Divides a scenario into phases with constant conditions, for the capacity bound. */
 import type { Conditions, ServiceCondition } from './capacity-bound.js';
 import type { Deployment, ServiceModel, TargetModel } from './deployment.js';
 import type { Fault, Scenario } from './scenario.js';
 
-/** Length of the steps into which a warm-up is cut, in milliseconds. */
+/** Length of the phases into which a warm-up is divided, in milliseconds. */
 const WARM_UP_STEP_MS = 500;
 
-/** A stretch of the run in which conditions do not change. */
+/** A period of the run in which conditions do not change. */
 export interface Phase {
   readonly fromMs: number;
   readonly toMs: number;
   readonly conditions: Conditions;
 }
 
-/** Cuts the measured part of a scenario into phases. */
+/** Divides the measured part of a scenario into phases. */
 export function phasesOf(scenario: Scenario, deployment: Deployment): Phase[] {
   const { warmUpMs, durationMs } = scenario;
-  const cuts = [warmUpMs, durationMs, ...changeTimes(scenario)]
+  const boundaries = [warmUpMs, durationMs, ...changeTimes(scenario)]
     .filter((at) => at >= warmUpMs && at <= durationMs)
     .sort((left, right) => left - right);
   const phases: Phase[] = [];
-  for (const [index, fromMs] of cuts.entries()) {
-    const toMs = cuts[index + 1];
+  for (const [index, fromMs] of boundaries.entries()) {
+    const toMs = boundaries[index + 1];
     if (toMs === undefined || toMs <= fromMs) continue;
     const conditions = conditionsAt(scenario, deployment, (fromMs + toMs) / 2);
     phases.push({ fromMs, toMs, conditions });
@@ -30,13 +30,13 @@
 }
 
 /**
- * First start and last end of everything out of the ordinary; `undefined` without any. The
- * warm-up of targets that come back cold belongs to the cause.
+ * Time from the first start to the last end of all surges and faults; `undefined` without any.
+ * The warm-up of targets that restart cold is included.
  */
 export function causePeriod(
   scenario: Scenario,
 ): { readonly fromMs: number; readonly toMs: number } | undefined {
-  // An outage of the platform by itself loads nothing.
+  // A platform outage alone adds no load.
   const faults = scenario.faults.filter(({ type }) => type !== 'platform-outage');
   const periods = [
     ...scenario.load.surges,
@@ -72,7 +72,7 @@
   );
 }
 
-/** Slots of the targets that serve, and their mean service rate as one slowdown. */
+/** Slots of the targets that serve, and one slowdown that stands for their mean service rate. */
 function conditionOf(scenario: Scenario, service: ServiceModel, at: number): ServiceCondition {
   const speeds = service.targets.map((target) => speedOf(scenario, service, target, at));
   const serving = speeds.filter((speed) => speed > 0);
@@ -81,14 +81,14 @@
   return { slots: serving.length * service.slots, slowdown };
 }
 
-/** 1 for a normal target, 0 for one that does not serve. */
+/** Relative speed of a target: 1 for a normal target, 0 for one that does not serve. */
 function speedOf(
   scenario: Scenario,
   service: ServiceModel,
   target: TargetModel,
   at: number,
 ): number {
-  const faults = scenario.faults.filter((fault) => concerns(fault, service, target));
+  const faults = scenario.faults.filter((fault) => appliesTo(fault, service, target));
   return faults.reduce((speed, fault) => speed * speedUnder(fault, at), 1);
 }
 
@@ -106,7 +106,7 @@
   return 1 / (1 + (fault.coldFactor - 1) * (warmUpLeft / fault.warmUpMs));
 }
 
-function concerns(fault: Fault, service: ServiceModel, target: TargetModel): boolean {
+function appliesTo(fault: Fault, service: ServiceModel, target: TargetModel): boolean {
   if (fault.type === 'platform-outage') return false;
   if (fault.type === 'zone-loss') return fault.zone === target.zone;
   return (
--- a/src/emulator/plots.ts
+++ b/src/emulator/plots.ts
@@ -1,17 +1,17 @@
-/** Plots of an experiment as SVG, by vega-lite: time lines by policy, and goodput by kind. */
+/** Plots of an experiment as SVG, by vega-lite: time series by policy, and goodput by kind. */
 import { parse, View } from 'vega';
 import { compile, type TopLevelSpec } from 'vega-lite';
 import type { ExperimentResult } from './experiment.js';
 import type { RunResult } from './run-result.js';
 import { median } from './statistics.js';
 
-/** Windows joined into one point of a time line. */
+/** Windows combined into one point of a time series. */
 const WINDOWS_PER_POINT = 5;
 const MS_PER_SECOND = 1_000;
 const PANEL_WIDTH = 640;
 const PANEL_HEIGHT = 130;
 
-/** The measures of the time lines, in the order of their panels. */
+/** The measures of the time series, in the order of their panels. */
 const MEASURES = ['goodput / s', 'refusals / s', 'attempts / s', 'queued'] as const;
 
 interface TimePoint {
@@ -21,8 +21,8 @@
   readonly value: number;
 }
 
-/** Goodput, refusals, attempts and queue over time; medians over the seeds. */
-export async function plotTimeLines(result: ExperimentResult): Promise<string> {
+/** Plots goodput, refusals, attempts and queue over time; medians over the seeds. */
+export async function plotTimeSeries(result: ExperimentResult): Promise<string> {
   const points = result.scenario.policies.flatMap((policy) =>
     timePoints(
       policy,
@@ -48,7 +48,7 @@
   });
 }
 
-/** Complete requests by kind and policy, as shares of those sent. */
+/** Plots complete requests by kind and policy, as shares of those sent. */
 export async function plotGoodput(result: ExperimentResult): Promise<string> {
   const bars = result.summary.flatMap(({ policy, kinds }) =>
     kinds.map(({ kind, complete }) => ({
@@ -116,7 +116,7 @@
   );
 }
 
-/** One series per measure of one run. */
+/** Returns one series per measure of one run. */
 function seriesOf(run: RunResult): number[][] {
   const kinds = Object.values(run.series.kinds);
   const services = Object.values(run.series.services);
@@ -141,7 +141,7 @@
   ];
 }
 
-/** Adds the series, joins {@link WINDOWS_PER_POINT} windows to a point and scales it. */
+/** Adds up the series, combines {@link WINDOWS_PER_POINT} windows into a point and scales it. */
 function joinWindows(all: readonly (readonly number[])[], factor: number): number[] {
   const windows = all[0]?.length ?? 0;
   const points = new Array<number>(Math.floor(windows / WINDOWS_PER_POINT)).fill(0);
--- a/src/emulator/policies.ts
+++ b/src/emulator/policies.ts
@@ -1,3 +1,3 @@
-/** Registers every policy that an experiment can name, the variants for measurements included. */
+/** Registers every policy that an experiment can name, including the variants for measurements. */
 import '../core/overload-policies.js';
 import '../core/policies/adaptive-variants.js';
--- a/src/emulator/policy-profile.ts
+++ b/src/emulator/policy-profile.ts
@@ -1,17 +1,20 @@
 /**
- * What the data path does around a policy. The baselines stand for common practice
- * without sillshore: each layer has its own timeout and retries by itself.
+ * Behaviour of the data path under a policy. The baselines model common practice without
+ * sillshore: each layer has its own timeout and retries by itself.
  */
 
 /** Behaviour of the data path under one policy. */
 export interface PolicyProfile {
-  /** Work whose caller went away is cancelled all along the chain. */
+  /** Work whose caller disconnected is cancelled along the whole chain. */
   readonly cancels: boolean;
-  /** Calls below inherit the deadline; otherwise each layer waits the kind's whole deadline. */
+  /**
+   * Downstream calls inherit the deadline; otherwise each layer waits for the kind's whole
+   * deadline.
+   */
   readonly propagatesDeadline: boolean;
-  /** Attempts of the whole chain draw from one budget; otherwise each layer retries by itself. */
+  /** The whole chain shares one attempt budget; otherwise each layer retries by itself. */
   readonly sharesAttempts: boolean;
-  /** An error answer caused by a failed call below is retried by the layer above. */
+  /** The calling node retries an error answer that a failed downstream call caused. */
   readonly retriesErrorAnswers: boolean;
 }
 
@@ -35,7 +38,7 @@
   ['aimd', { ...LAYERED_PROFILE, cancels: true, propagatesDeadline: true }],
 ]);
 
-/** Profile of a policy: a baseline's own, else that of sillshore. */
+/** Returns the profile of a baseline, or that of sillshore for any other policy. */
 export function profileOf(policy: string): PolicyProfile {
   return BASELINES.get(policy) ?? SILLSHORE_PROFILE;
 }
--- a/src/emulator/queueing.test.ts
+++ b/src/emulator/queueing.test.ts
@@ -1,4 +1,6 @@
-/** The emulator against queueing theory: an M/M/c queue has a known mean wait (Erlang C). */
+/**
+ * Checks the emulator against queueing theory: the mean wait of an M/M/c queue is known (Erlang C).
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { EmulatedBackEnd, type BackEndJob } from './back-end.js';
--- a/src/emulator/random-faults.test.ts
+++ b/src/emulator/random-faults.test.ts
@@ -1,4 +1,6 @@
-/** Random schedules of faults, several at a time and the same one twice, with fixed seeds. */
+/**
+ * Random schedules of faults, with several faults at a time and the same one twice; fixed seeds.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -80,7 +82,7 @@
   });
 }
 
-/** Checks the kinds of random runs; fixed seed. */
+/** Checks every kind of each random run; the seed is fixed. */
 function checkRuns(policy: string, check: (kind: KindResult) => void): void {
   const property = fc.property(
     fc.array(fault, { minLength: 1, maxLength: 5 }),
@@ -100,7 +102,7 @@
 }
 
 for (const policy of ['none', 'adaptive']) {
-  test(`${policy}: one end for each request whatever fails`, () => {
+  test(`${policy}: each request has one end whatever fails`, () => {
     checkRuns(policy, ({ kind, ends, sent }) => {
       const ended = Object.values(ends).reduce((sum, count) => sum + count, 0);
       assert.equal(ended, sent, kind);
@@ -108,6 +110,6 @@
   });
 }
 
-test('adaptive: no kind passes its bound on attempts whatever fails', () => {
+test('adaptive: no kind exceeds its bound on attempts whatever fails', () => {
   checkRuns('adaptive', checkBound);
 });
--- a/src/emulator/recorder.ts
+++ b/src/emulator/recorder.ts
@@ -1,4 +1,4 @@
-/** What a run measures: ends by kind, refusals by place, attempts, slot time, time series. */
+/** Measurements of a run: ends by kind, refusals by place, attempts, slot time, time series. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import { ResultCode } from '../core/result-code.js';
 import type { CallSite, Deployment, CallerKind } from './deployment.js';
@@ -17,12 +17,12 @@
 export interface KindTotals {
   sent: number;
   readonly ends: Record<RequestEnd, number>;
-  /** Dispatches to back ends. */
+  /** Attempts sent to back ends. */
   attempts: number;
   /** Distinct calls of the chain that were reached. */
   calls: number;
   maxAttempts: number;
-  /** Attempts per distinct call, highest of one request. */
+  /** Highest number of attempts per distinct call of any one request. */
   maxAttemptsPerCall: number;
   readonly latencyUs: Histogram;
 }
@@ -43,29 +43,29 @@
   totalMs: number;
 }
 
-/** One counter per window. */
+/** Counts of one kind per window. */
 export interface KindSeries {
   readonly sent: number[];
   readonly complete: number[];
   readonly refused: number[];
 }
 
-/** Samples at the end of each window, or counts in it, by service. */
+/** Counts of one service per window, and samples at the end of each window. */
 export interface ServiceSeries {
   readonly attempts: number[];
   readonly refusals: number[];
-  /** Waiting in the gates of the service's targets. */
+  /** Requests waiting in the gates of the service's targets. */
   readonly queued: number[];
-  /** Waiting for a connection or in the back ends. */
+  /** Requests waiting for a connection or in the back ends. */
   readonly queuedInTargets: number[];
   readonly inFlight: number[];
-  /** Sum of the gates' limits; `null` where there is none. */
+  /** Sum of the gates' limits; `null` when a gate has none. */
   readonly limit: (number | null)[];
   /** Highest admission threshold of the gates. */
   readonly threshold: number[];
 }
 
-/** State of a service at one moment, over its targets. */
+/** State of a service at one time, over all its targets. */
 export interface ServiceSample {
   readonly queued: number;
   readonly queuedInTargets: number;
@@ -89,7 +89,7 @@
   constructor(
     deployment: Deployment,
     private readonly now: () => number,
-    /** Requests sent from here on count in the totals. */
+    /** Time from which sent requests count in the totals. */
     private readonly measureFromMs: number,
     windows: number,
   ) {
@@ -113,24 +113,24 @@
     this.serviceIndex = new Map(deployment.services.map(({ name }, index) => [name, index]));
   }
 
-  /** A caller sends a request for the first time. */
+  /** Records a request when its caller first sends it. */
   onSent(record: RequestRecord): void {
     this.count(this.kindSeries[record.kindIndex]!.sent);
     if (this.isMeasured(record)) this.kinds[record.kindIndex]!.sent += 1;
   }
 
-  /** A gate let an attempt go after a wait. */
+  /** Records that a gate dispatched an attempt after a wait. */
   onDispatch(record: RequestRecord, site: CallSite, waitedMs: number): void {
     if (this.isMeasured(record)) this.addWait(record, site, waitedMs);
   }
 
-  /** An attempt was sent to a back end that is there; only this counts as an attempt. */
+  /** Records an attempt; only one that is sent to a running back end counts. */
   onAttempt(record: RequestRecord, site: CallSite): void {
     record.attempts += 1;
     this.count(this.seriesOf(site).attempts);
   }
 
-  /** Something refused an attempt or a call. */
+  /** Records the refusal of an attempt or a call. */
   onRefusal(record: RequestRecord, site: CallSite, place: RefusalPlace, code: ResultCode): void {
     this.count(this.seriesOf(site).refusals);
     if (!this.isMeasured(record)) return;
@@ -138,7 +138,7 @@
     this.refusals.set(key, (this.refusals.get(key) ?? 0) + 1);
   }
 
-  /** A caller's request has its end. */
+  /** Records the end of a caller's request. */
   onEnd(record: RequestRecord, end: RequestEnd): void {
     const series = this.kindSeries[record.kindIndex]!;
     if (end === 'complete') this.count(series.complete);
@@ -148,13 +148,13 @@
     this.settleSlotUse(record, end);
   }
 
-  /** A slot of a service was held for a request. */
+  /** Records the time for which a request held a slot of a service. */
   addSlotTime(record: RequestRecord, serviceIndex: number, heldMs: number): void {
     if (record.end === undefined) record.slotUse.push(serviceIndex, heldMs);
     else if (this.isMeasured(record)) this.slots[serviceIndex]!.late += heldMs;
   }
 
-  /** Samples the queue of a service for the current window. */
+  /** Records the state of a service for the current window. */
   sampleService(serviceIndex: number, sample: ServiceSample): void {
     const series = this.serviceSeries[serviceIndex]!;
     const window = this.window();
@@ -217,8 +217,8 @@
   }
 }
 
-/** Creates a record for a new request. */
-export function createRecord(
+/** Creates the record of a new request. */
+export function createRequestRecord(
   id: string,
   kind: CallerKind,
   kindIndex: number,
--- a/src/emulator/recovery.test.ts
+++ b/src/emulator/recovery.test.ts
@@ -20,11 +20,11 @@
 
 const CASES: [string, number, number, number | undefined][] = [
   ['no dip', 3_000, 100, 0],
-  ['a dip that ends with its cause costs the smoothing only', 3_000, 0, 200],
-  ['a dip that goes on', 4_000, 50, 1_200],
+  ['a dip that ends with its cause adds only the delay of the smoothing', 3_000, 0, 200],
+  ['a dip that outlasts its cause', 4_000, 50, 1_200],
   ['a small dip below 95 % counts', 4_000, 90, 1_000],
   ['a dip above 95 % does not', 4_000, 96, 0],
-  ['never back', 8_000, 50, undefined],
+  ['goodput never recovers', 8_000, 50, undefined],
 ];
 
 for (const [name, backAtMs, during, expected] of CASES) {
@@ -33,7 +33,7 @@
   });
 }
 
-test('goodput that comes back only for a moment is not recovery', () => {
+test('a brief return of goodput is not recovery', () => {
   const { sent, complete } = seriesWithDip(8_000, 50);
   complete.fill(100, 35, 42);
   assert.equal(recoveryTime({ sent, complete }, TIMES), undefined);
@@ -53,17 +53,17 @@
   - { type: platform-outage, fromMs: 2800, toMs: 9000 }
 `).unwrapOr(undefined) as Scenario;
 
-test('the cause lasts until the targets are warm; an outage of the platform is no cause', () => {
+test('the cause lasts until the targets are warm; a platform outage is no cause', () => {
   assert.deepEqual(causePeriod(SCENARIO), { fromMs: 2_000, toMs: 5_000 });
 });
 
-test('the list of machines lags, and stands still in an outage', () => {
+test('the list of machines lags, and is not updated during an outage', () => {
   assert.equal(listedAt(SCENARIO, 2_000), 2_500);
   assert.equal(listedAt(SCENARIO, 2_500), 9_000);
   assert.equal(listedAt(SCENARIO, 9_000), 9_500);
 });
 
-test('phases follow the conditions', () => {
+test('a phase starts whenever conditions change', () => {
   const phases = phasesOf(SCENARIO, readExampleDeployment('recife'));
   const slots = phases.map(({ fromMs, conditions }) => [
     fromMs,
--- a/src/emulator/recovery.ts
+++ b/src/emulator/recovery.ts
@@ -1,18 +1,18 @@
 /**
- * Recovery time: from the end of an overload's cause until goodput is back.
+ * Recovery time: from the end of an overload's cause until goodput has recovered.
  *
  * Goodput of a window is the number of requests completed in time in it. Windows are smoothed
  * by a centred mean over {@link SMOOTHING_WINDOWS}, and divided by the requests sent in the
- * same windows, so that the chance of arrivals does not count as loss. The earlier level is
- * this share over the windows between the warm-up and the first cause. Recovery is the first
- * window after the cause's end from which on the share stays at or above
+ * same windows, so that random variation of the arrivals does not count as loss. The level before
+ * the cause is this share over the windows between the warm-up and the first cause. Recovery is
+ * the first window after the cause's end from which the share stays at or above
  * {@link RECOVERED_SHARE} of that level for {@link STABLE_WINDOWS}.
  */
 import { WINDOW_MS } from './recorder.js';
 
 /** Windows in the centred mean. */
 export const SMOOTHING_WINDOWS = 5;
-/** Part of the earlier level that counts as recovered. */
+/** Share of the level before the cause that counts as recovered. */
 export const RECOVERED_SHARE = 0.95;
 /** Windows for which the level must hold. */
 export const STABLE_WINDOWS = 10;
@@ -31,12 +31,12 @@
 }
 
 /**
- * Recovery time in milliseconds, a whole number of windows; `undefined` when goodput was not
- * back by the end of the run.
+ * Returns the recovery time in milliseconds, a whole number of windows; `undefined` when goodput
+ * has not recovered by the end of the run.
  */
 export function recoveryTime(series: GoodputSeries, times: CauseTimes): number | undefined {
   const shares = smoothedShares(series);
-  const level = earlierLevel(series, times);
+  const level = levelBeforeCause(series, times);
   const first = Math.ceil(times.causeEndMs / WINDOW_MS);
   let start = first;
   for (let window = first; window < shares.length; window += 1) {
@@ -58,7 +58,7 @@
 }
 
 /** Completed requests per sent request between the warm-up and the first cause. */
-export function earlierLevel({ sent, complete }: GoodputSeries, times: CauseTimes): number {
+export function levelBeforeCause({ sent, complete }: GoodputSeries, times: CauseTimes): number {
   const from = Math.floor(times.warmUpMs / WINDOW_MS);
   const to = Math.floor(times.causeStartMs / WINDOW_MS);
   const offered = sum(sent.slice(from, to));
--- a/src/emulator/report.ts
+++ b/src/emulator/report.ts
@@ -114,7 +114,7 @@
   return Object.entries(gateWaitMs).map(([key, waitMs]) => [policy, key, waitMs.toFixed(1)]);
 }
 
-/** Median with its range. */
+/** Formats a median with its range. */
 function formatSpread({ median, min, max }: Spread, digits: number): string {
   return `${median.toFixed(digits)} [${min.toFixed(digits)}..${max.toFixed(digits)}]`;
 }
@@ -135,7 +135,7 @@
   return (median * PERCENT).toFixed(1);
 }
 
-/** Aligns columns; the table is also valid Markdown. */
+/** Formats a table with aligned columns, which is also valid Markdown. */
 export function formatTable(head: readonly string[], rows: readonly (readonly string[])[]): string {
   const widths = head.map((title, column) =>
     Math.max(title.length, ...rows.map((row) => row[column]?.length ?? 0)),
--- a/src/emulator/request-record.ts
+++ b/src/emulator/request-record.ts
@@ -1,8 +1,8 @@
-/** One caller's request as the emulator follows it, over all its tries and hops. */
+/** One caller's request as the emulator tracks it, over all caller attempts and hops. */
 import type { ResultCode } from '../core/result-code.js';
 import type { CallerKind } from './deployment.js';
 
-/** How a caller's request ended; each has exactly one end. */
+/** Possible ends of a caller's request; each request has exactly one end. */
 export const REQUEST_ENDS = ['complete', 'refused', 'failed', 'timeout'] as const;
 
 /** One of {@link REQUEST_ENDS}; `complete` means answered within the deadline. */
@@ -15,15 +15,15 @@
   readonly kindIndex: number;
   readonly sentAt: number;
   end: RequestEnd | undefined;
-  /** Dispatches to back ends so far, over the whole chain and all tries. */
+  /** Attempts sent to back ends so far, over the whole chain and all caller attempts. */
   attempts: number;
-  /** Attempts that the request may still cause, when tries share one budget. */
+  /** Attempts that the request may still cause, when its caller attempts share one budget. */
   attemptsLeft: number;
-  /** 1 for each call site that was reached at least once. */
+  /** By site index: 1 for a call site that was reached at least once. */
   readonly reachedSites: Uint8Array;
-  /** Whether a try may have taken effect. */
+  /** Whether a caller attempt may have taken effect. */
   mayHaveRun: boolean;
-  /** Slot time held so far, by service index; alternating index and milliseconds. */
+  /** Slot time held so far: service index and milliseconds, alternating. */
   readonly slotUse: number[];
 }
 
@@ -32,7 +32,7 @@
   readonly result: 'complete' | 'refused' | 'failed' | 'timeout';
   readonly code: ResultCode;
   readonly retryAfterMs: number | undefined;
-  /** Whether something below may have taken effect. */
+  /** Whether a target may have run the request. */
   readonly mayHaveRun: boolean;
   readonly attemptsUsed: number;
 }
--- a/src/emulator/run-pool.ts
+++ b/src/emulator/run-pool.ts
@@ -1,4 +1,4 @@
-/** Runs of one scenario spread over worker threads; the results keep the order of the requests. */
+/** Makes the runs of one scenario on worker threads; the results keep the order of the requests. */
 import { Worker } from 'node:worker_threads';
 import type { RunResult } from './run-result.js';
 import type { Scenario } from './scenario.js';
@@ -16,10 +16,10 @@
   readonly result: RunResult;
 }
 
-/** Told after each run. */
+/** Called after each run. */
 export type ProgressListener = (done: number, total: number, run: RunResult) => void;
 
-/** A larger young generation: most objects of a run die within a request. */
+/** A larger young generation per thread, because most objects of a run do not outlive a request. */
 const YOUNG_GENERATION_MB = 64;
 
 /** Makes all runs on up to `jobs` threads; rejects when a thread fails, which is a defect. */
@@ -38,12 +38,12 @@
     onProgress(done, requests.length, result);
   };
   const threads = Math.min(jobs, requests.length);
-  await Promise.all(Array.from({ length: threads }, () => work(scenario, pending, onReply)));
+  await Promise.all(Array.from({ length: threads }, () => runThread(scenario, pending, onReply)));
   return results;
 }
 
-/** One thread: takes requests until none is left. */
-function work(
+/** Starts a thread that takes requests until none is left. */
+function runThread(
   scenario: Scenario,
   pending: RunRequest[],
   onReply: (reply: RunReply) => void,
--- a/src/emulator/run-result.ts
+++ b/src/emulator/run-result.ts
@@ -1,10 +1,10 @@
-/** Result of one run as plain data, the raw form that the experiment tool writes. */
+/** Result of one run as plain data, as the experiment tool writes it. */
 import { CRITICALITIES } from '../core/request.js';
 import { goodputBound } from './capacity-bound.js';
 import type { Deployment } from './deployment.js';
 import { causePeriod, phasesOf } from './phases.js';
 import { type KindSeries, type Recorder, type ServiceSeries, WINDOW_MS } from './recorder.js';
-import { earlierLevel, recoveryTime } from './recovery.js';
+import { levelBeforeCause, recoveryTime } from './recovery.js';
 import type { RequestEnd } from './request-record.js';
 import type { Scenario } from './scenario.js';
 
@@ -21,7 +21,7 @@
   readonly calls: number;
   readonly maxAttempts: number;
   readonly attemptsBound: number;
-  /** Complete requests that the capacity bound allows, more important classes first. */
+  /** Complete requests that the capacity bound allows, with more important classes first. */
   readonly bound: number;
   readonly latencyMs: { readonly p50: number; readonly p99: number };
 }
@@ -42,18 +42,18 @@
   readonly events: number;
   readonly kinds: readonly KindResult[];
   readonly services: readonly ServiceResult[];
-  /** Complete requests over the bound with the more important classes first. */
+  /** Complete requests divided by the bound, with more important classes first. */
   readonly goodputRatio: number;
-  /** The same for the most important class alone. */
+  /** The same ratio for the most important class alone. */
   readonly criticalRatio: number;
-  /** Complete requests over the bound with all kinds alike. */
+  /** Complete requests divided by the bound in which all kinds count the same. */
   readonly unrankedRatio: number;
-  /** Dispatches per distinct call of the chain. */
+  /** Attempts per distinct call of the chain. */
   readonly attemptsPerCall: number;
   readonly maxAttemptsPerCall: number;
-  /** Milliseconds; `null` when not recovered by the end, absent without a cause. */
+  /** In milliseconds; `null` when not recovered by the end, absent without a cause. */
   readonly recoveryMs?: number | null;
-  /** Completed requests per sent request before the cause; what recovery is measured against. */
+  /** Completed requests per sent request before the cause; the reference level of recovery. */
   readonly levelBefore?: number;
   /** Count by `place code service depth`. */
   readonly refusals: Readonly<Record<string, number>>;
@@ -66,7 +66,7 @@
   };
 }
 
-/** What a result is made from. */
+/** Inputs of {@link createRunResult}. */
 export interface FinishedRun {
   readonly scenario: Scenario;
   readonly deployment: Deployment;
@@ -110,14 +110,14 @@
   };
 }
 
-/** Goodput over the bound of the most important class that the deployment has. */
+/** Goodput of the most important class that the deployment has, divided by its bound. */
 function criticalRatio(kinds: readonly KindResult[]): number {
   const first = CRITICALITIES.find((name) => kinds.some(({ criticality }) => criticality === name));
   const critical = kinds.filter(({ criticality }) => criticality === first);
   return ratio(sum(critical.map(({ ends }) => ends.complete)), sum(critical.map((k) => k.bound)));
 }
 
-/** Requests that the bound allows by kind, from the requests that were really sent. */
+/** Requests that the bound allows by kind, given the requests that were actually sent. */
 function integrateBound(run: FinishedRun, prioritised: boolean): number[] {
   const totals = run.deployment.kinds.map(() => 0);
   for (const { fromMs, toMs, conditions } of phasesOf(run.scenario, run.deployment)) {
@@ -183,7 +183,7 @@
   };
   return {
     recoveryMs: recoveryTime(series, times) ?? null,
-    levelBefore: earlierLevel(series, times),
+    levelBefore: levelBeforeCause(series, times),
   };
 }
 
--- a/src/emulator/run-worker.ts
+++ b/src/emulator/run-worker.ts
@@ -1,4 +1,4 @@
-/** Worker thread of {@link runAll}: runs the policies and seeds that it is sent, one at a time. */
+/** Worker thread of {@link runAll}: makes the runs that it receives, one at a time. */
 import { parentPort, workerData } from 'node:worker_threads';
 import type { RunReply, RunRequest } from './run-pool.js';
 import { runScenario } from './run-scenario.js';
--- a/src/emulator/sampling.ts
+++ b/src/emulator/sampling.ts
@@ -1,9 +1,9 @@
-/** Seeded samples of the distributions that the models use. */
+/** Seeded random streams and samples of the distributions that the models use. */
 import { createRandom, type Random } from '../core/random.js';
 
 const GOLDEN_RATIO_32 = 0x9e3779b1;
 
-/** Derives an independent seed for one purpose of a run (32-bit mix after MurmurHash3). */
+/** Derives an independent seed for one purpose of a run (32-bit mix based on MurmurHash3). */
 export function deriveSeed(seed: number, purpose: string): number {
   let hash = seed | 0;
   for (let index = 0; index < purpose.length; index += 1) {
@@ -31,7 +31,7 @@
   return radius * Math.cos(2 * Math.PI * random.next());
 }
 
-/** Lognormal sample with the given mean; `sigma` is the deviation of its logarithm. */
+/** Lognormal sample with the given mean; `sigma` is the standard deviation of its logarithm. */
 export function sampleLognormal(random: Random, mean: number, sigma: number): number {
   return mean * Math.exp(sigma * sampleNormal(random) - (sigma * sigma) / 2);
 }
--- a/src/emulator/scenario.ts
+++ b/src/emulator/scenario.ts
@@ -1,4 +1,7 @@
-/** The scenario file of an experiment: YAML or JSON, checked strictly, all errors at once. */
+/**
+ * Scenario files of experiments: YAML or JSON. Unknown fields are rejected, and all errors are
+ * reported at once.
+ */
 import type { Result } from 'true-myth';
 import { z } from 'zod';
 import { parseAndValidate } from '../config/document.js';
@@ -12,19 +15,19 @@
 import { createSyntheticFleet } from './synthetic-fleet.js';
 
 const MAX_DURATION_MS = 600_000;
-const time = z.number().min(0).max(MAX_DURATION_MS);
-const named = z.string().min(1).max(63);
-const period = { fromMs: time, toMs: time };
+const timeSchema = z.number().min(0).max(MAX_DURATION_MS);
+const nameSchema = z.string().min(1).max(63);
+const periodFields = { fromMs: timeSchema, toMs: timeSchema };
 
 const syntheticSchema = z.strictObject({
   targets: z.int().min(1).max(1_000),
   services: z.int().min(1).max(80),
   zones: z.int().min(1).max(7),
   regions: z.int().min(1).max(2).default(1),
-  /** Services in a row on the longest chain. */
+  /** Number of services on the longest chain. */
   depth: z.int().min(1).max(9),
   kinds: z.int().min(1).max(16).default(4),
-  /** Calls that each back end of the chain makes. */
+  /** Number of calls that each back end of the chain makes. */
   fanOut: z.int().min(1).max(3).default(1),
   seed: z.int().min(0).default(1),
 });
@@ -40,13 +43,15 @@
 const loadSchema = z.strictObject({
   /** Multiple of the deployment's capacity at the kinds' own mix. */
   multiple: z.number().min(0).max(100).default(0.7),
-  /** Relative rates of the kinds, in place of the deployment's own; others are not sent. */
-  mix: z.record(named, z.number().min(0).max(1_000_000)).optional(),
+  /** Relative rates of the kinds, in place of the deployment's own; kinds left out are not sent. */
+  mix: z.record(nameSchema, z.number().min(0).max(1_000_000)).optional(),
   /** Requests per second by kind, in place of the multiple. */
-  ratesPerSecond: z.record(named, z.number().min(0).max(200_000)).optional(),
-  /** Periods with another load; `multiple` counts as a factor when rates are given. */
+  ratesPerSecond: z.record(nameSchema, z.number().min(0).max(200_000)).optional(),
+  /**
+   * Periods with a different load; `multiple` is a factor on `ratesPerSecond` when these are given.
+   */
   surges: z
-    .array(z.strictObject({ ...period, multiple: z.number().min(0).max(100) }))
+    .array(z.strictObject({ ...periodFields, multiple: z.number().min(0).max(100) }))
     .max(16)
     .default([]),
 });
@@ -59,72 +64,75 @@
   failoverMs: z.number().min(0).max(60_000).default(300),
 });
 
-const targetsOf = { service: named, target: named.optional() };
+const targetFields = { service: nameSchema, target: nameSchema.optional() };
 
 const faultSchema = z.discriminatedUnion('type', [
-  /** Service time multiplied. */
+  /** Multiplies the service time by `factor`. */
   z.strictObject({
     type: z.literal('slow'),
-    ...targetsOf,
-    ...period,
+    ...targetFields,
+    ...periodFields,
     factor: z.number().min(0.01).max(1_000),
   }),
-  /** Processes killed at `fromMs`, started again (cold) at `toMs`. */
+  /** Processes crash at `fromMs` and restart cold at `toMs`. */
   z.strictObject({
     type: z.literal('death'),
-    ...targetsOf,
-    ...period,
+    ...targetFields,
+    ...periodFields,
     coldFactor: z.number().min(1).max(100).default(3),
     warmUpMs: z.number().min(0).max(60_000).default(2_000),
   }),
-  /** Planned leave: refuses new work from `fromMs`, ends when idle, back (cold) at `toMs`. */
+  /**
+   * Planned drain: targets announce it at `fromMs`, refuse new work `graceMs` later, finish what is
+   * running and restart cold at `toMs`.
+   */
   z.strictObject({
     type: z.literal('drain'),
-    ...targetsOf,
-    ...period,
-    /** Time for which a leaving back end still takes work. */
+    ...targetFields,
+    ...periodFields,
+    /** Time for which a leaving back end still accepts work. */
     graceMs: z.number().min(0).max(60_000).default(0),
     coldFactor: z.number().min(1).max(100).default(3),
     warmUpMs: z.number().min(0).max(60_000).default(2_000),
   }),
-  /** Requests beyond a queue length are refused by the back end itself. */
+  /** The back end itself refuses requests while its queue is at least `queueAbove` long. */
   z.strictObject({
     type: z.literal('shedding'),
-    ...targetsOf,
-    ...period,
+    ...targetFields,
+    ...periodFields,
     queueAbove: z.int().min(0).max(10_000),
   }),
-  /** All nodes and targets of a zone gone without a sign. */
+  /** All nodes and targets of a zone disappear without notice. */
   z.strictObject({
     type: z.literal('zone-loss'),
-    zone: named,
-    ...period,
+    zone: nameSchema,
+    ...periodFields,
     coldFactor: z.number().min(1).max(100).default(3),
     warmUpMs: z.number().min(0).max(60_000).default(2_000),
   }),
-  /** The list of machines stands still. */
-  z.strictObject({ type: z.literal('platform-outage'), ...period }),
+  /** The list of machines is not updated. */
+  z.strictObject({ type: z.literal('platform-outage'), ...periodFields }),
   /**
-   * Health that misleads: `looks-healthy` resets a share of the connections at once and still
-   * counts as healthy; `looks-down` works but counts as down.
+   * Wrong health: a `looks-healthy` target resets a share of the connections at once but counts as
+   * healthy; a `looks-down` target works but counts as down.
    */
   z.strictObject({
     type: z.literal('misleading-health'),
-    ...targetsOf,
-    ...period,
+    ...targetFields,
+    ...periodFields,
     mode: z.enum(['looks-healthy', 'looks-down']),
     resetShare: z.number().min(0).max(1).default(0.8),
   }),
-  /** A share of the requests is run, and its connection reset in place of an answer. */
+  /** A share of the requests runs, but the connection is reset instead of an answer. */
   z.strictObject({
     type: z.literal('lost-answers'),
-    ...targetsOf,
-    ...period,
+    ...targetFields,
+    ...periodFields,
     share: z.number().min(0).max(1).default(0.4),
   }),
 ]);
 
-/** One fault over time. */
+/** One fault with its period. */
 export type Fault = z.infer<typeof faultSchema>;
 
 const scenarioSchema = z
@@ -137,18 +145,18 @@
     /** Whether each node uses a subset of the targets of a large service, as sidecars do. */
     subsets: z.boolean().default(false),
     durationMs: z.number().min(100).max(MAX_DURATION_MS),
-    /** Requests sent before are not counted. */
-    warmUpMs: time.default(2_000),
+    /** Requests sent before this time are not counted. */
+    warmUpMs: timeSchema.default(2_000),
     seeds: z.array(z.int().min(0).max(2_147_483_647)).min(1).max(100).default([1, 2, 3, 4, 5]),
-    policies: z.array(named).min(1).max(16),
+    policies: z.array(nameSchema).min(1).max(16),
     load: loadSchema,
     callers: callersSchema.default(callersSchema.parse({})),
     faults: z.array(faultSchema).max(64).default([]),
     /** Delay of the list of machines, in milliseconds. */
     machineListLagMs: z.number().min(0).max(60_000).default(10_000),
-    /** Time until the nodes agree that a node or zone is gone, in milliseconds. */
+    /** Time until the nodes agree that a node or zone is lost, in milliseconds. */
     failureDetectionMs: z.number().min(0).max(60_000).default(1_000),
-    /** Time until other nodes hear that a target is leaving, in milliseconds. */
+    /** Time until other nodes learn that a target is leaving, in milliseconds. */
     gossipMs: z.number().min(0).max(60_000).default(500),
   })
   .superRefine(checkReferences);
@@ -166,7 +174,7 @@
   return validateValue(value, scenarioSchema, ResultCode.ScenarioInvalid);
 }
 
-/** The deployment that a scenario names. */
+/** Builds the deployment that a scenario names. */
 export function resolveDeployment(
   scenario: Pick<Scenario, 'deployment' | 'nodesPerZone' | 'subsets' | 'load'>,
 ): Deployment {
@@ -188,7 +196,7 @@
   const deployment = resolveDeployment(scenario);
   const issues = [
     ...checkPolicies(scenario),
-    ...checkRates(scenario, deployment),
+    ...checkLoadKinds(scenario, deployment),
     ...checkPeriods(scenario),
     ...scenario.faults.flatMap((fault, index) => checkFault(fault, index, deployment)),
   ];
@@ -209,7 +217,7 @@
   );
 }
 
-function checkRates(scenario: Scenario, deployment: Deployment): Issue[] {
+function checkLoadKinds(scenario: Scenario, deployment: Deployment): Issue[] {
   const kinds = deployment.kinds.map(({ name }) => name);
   const message = `unknown kind; known: ${kinds.join(', ')}`;
   return (['mix', 'ratesPerSecond'] as const).flatMap((member) =>
--- a/src/emulator/service-sampler.ts
+++ b/src/emulator/service-sampler.ts
@@ -1,23 +1,23 @@
 /** Samples the state of every service at the end of each window of the time series. */
 import { type ServiceSample, WINDOW_MS } from './recorder.js';
 import type { TargetSide } from './target-side.js';
-import type { World } from './world.js';
+import type { SimulationContext } from './simulation-context.js';
 
-/** A run whose target sides can be looked at. */
-type SampledRun = Pick<World, 'queue' | 'deployment' | 'recorder'> & {
+/** The parts of a run that sampling reads. */
+type SampledRun = Pick<SimulationContext, 'queue' | 'deployment' | 'recorder'> & {
   readonly targetSide: (target: string) => TargetSide;
 };
 
-/** Time before the end of a window at which it is sampled, so that the sample falls into it. */
+/** Samples are taken this long before the end of a window, so that they fall into it. */
 const BEFORE_END_MS = 1;
 
 /** Samples a run until `endMs`. */
-export function startSampling(world: SampledRun, endMs: number): void {
-  const { queue } = world;
+export function startSampling(sampledRun: SampledRun, endMs: number): void {
+  const { queue } = sampledRun;
   const sampleWindow = (end: number): void => {
     if (end > endMs) return;
     queue.scheduleAt(end - BEFORE_END_MS, () => {
-      sampleServices(world);
+      sampleServices(sampledRun);
       sampleWindow(end + WINDOW_MS);
     });
   };
--- a/src/emulator/world.ts
+++ b/src/emulator/simulation-context.ts
@@ -1,4 +1,4 @@
-/** What all parts of one emulated run share. */
+/** State and functions that all parts of one emulated run share. */
 import type { CallGraph } from '../core/attempt-budget.js';
 import type { AttemptOutcome, RequestContext } from '../core/request.js';
 import type { AttemptEnd } from './attempt-end.js';
@@ -9,7 +9,7 @@
 import type { Recorder } from './recorder.js';
 import type { RequestRecord } from './request-record.js';
 
-/** An attempt as the node that fronts its target sees it. */
+/** An attempt as its target's fronting node receives it. */
 export interface IncomingAttempt {
   readonly id: string;
   readonly site: CallSite;
@@ -20,7 +20,7 @@
   reply(end: AttemptEnd): void;
 }
 
-/** The target side as calls see it that send their attempts there. */
+/** The part of a target side that calls send their attempts to. */
 export interface AttemptReceiver {
   readonly node: EmulatedNode;
   receive(attempt: IncomingAttempt): void;
@@ -28,21 +28,21 @@
 }
 
 /** Shared state of one run. */
-export interface World {
+export interface SimulationContext {
   readonly queue: EventQueue;
   readonly deployment: Deployment;
   readonly profile: PolicyProfile;
   readonly recorder: Recorder;
-  /** Sends a message between zones; it is lost when either zone is lost meanwhile. */
+  /** Sends a message between zones; it is dropped when one of them is lost. */
   send(fromZone: string, toZone: string, deliver: () => void): void;
-  /** The target side of a target on the node that fronts it. */
+  /** Returns the target side of a target on its fronting node. */
   readonly targetSide: (target: string) => AttemptReceiver;
-  /** The services that a service calls. */
+  /** Returns the services that a service calls. */
   readonly callsOf: CallGraph;
-  /** Fewest attempts with which a call of a service can succeed. */
+  /** Returns the smallest number of attempts with which a call of a service can succeed. */
   needOf(service: string): number;
-  /** Makes an attempt id. */
+  /** Creates an attempt id. */
   nextAttemptId(): string;
-  /** Called when a target's node saw a sign that the target is leaving. */
-  onLeavingSign(target: string): void;
+  /** Called when the fronting node of a target learns that the target is leaving. */
+  onTargetLeaving(target: string): void;
 }
--- a/src/emulator/simulation.test.ts
+++ b/src/emulator/simulation.test.ts
@@ -12,7 +12,7 @@
   return parsed.value;
 }
 
-/** Every fault and every way to repeat in one short run. */
+/** One short run with every type of fault and caller retries. */
 const EVERYTHING = scenarioOf(`
 apiVersion: sillshore/v1
 name: everything
@@ -37,7 +37,7 @@
 `);
 
 for (const policy of POLICIES) {
-  test(`${policy}: the same seed gives the same result byte for byte, another seed another`, () => {
+  test(`${policy}: the same seed gives the same result byte for byte, another seed a different one`, () => {
     const first = JSON.stringify(runScenario(EVERYTHING, policy, 7));
     assert.equal(JSON.stringify(runScenario(EVERYTHING, policy, 7)), first);
     assert.notEqual(JSON.stringify(runScenario(EVERYTHING, policy, 8)), first);
@@ -66,7 +66,7 @@
   assert.equal(result.attemptsPerCall, 1);
 });
 
-test('after a slow deep service in a surge none stays down and adaptive recovers', () => {
+test('after a surge with a slow deep service, policy adaptive recovers and policy none does not', () => {
   const text = readFileSync('examples/experiments/recife-slow-deep.yaml', 'utf8');
   const full = scenarioOf(text);
   const short = {
@@ -87,7 +87,7 @@
   return sent - (ends.complete ?? 0);
 }
 
-test('with a node beside each target, a target that loses answers gets fewer requests', () => {
+test('with one node per target, a target that loses answers gets fewer requests', () => {
   const text = readFileSync('examples/experiments/sidecars-lost-answers.yaml', 'utf8');
   const scenario = scenarioOf(text);
   const kind = 'deployment-trigger';
@@ -96,7 +96,7 @@
   assert.ok(lost < 0.8 * countLost(scenario, 'adaptive-ejection-alone', kind));
 });
 
-test('a node beside each target: each target has a node of its own, and its entry counts', () => {
+test('with one node per target and no overload, every request completes', () => {
   const calm = { ...EVERYTHING, load: { multiple: 0.4, surges: [] }, faults: [] };
   const result = runScenario({ ...calm, nodesPerZone: 'one-per-target' }, 'adaptive', 7);
   for (const { kind, ends, sent } of result.kinds) assert.equal(ends.complete, sent, kind);
--- a/src/emulator/simulation.ts
+++ b/src/emulator/simulation.ts
@@ -1,4 +1,4 @@
-/** One emulated run: a deployment under one policy, load, faults and seed. */
+/** One emulated run: a deployment with one policy, load, set of faults and seed. */
 import { minimalNeed } from '../core/attempt-budget.js';
 import { AttemptLedger } from '../core/attempt-ledger.js';
 import type { OverloadPolicy } from '../core/overload.js';
@@ -21,10 +21,10 @@
 import { startSampling } from './service-sampler.js';
 import { TargetDirectory } from './target-directory.js';
 import { TargetSide } from './target-side.js';
-import type { World } from './world.js';
+import type { SimulationContext } from './simulation-context.js';
 import { ZoneNetwork } from './zone-network.js';
 
-/** Time after the end of sending in which the last requests end, in milliseconds. */
+/** Time added to the longest deadline, in which the last requests end, in milliseconds. */
 const SETTLE_MS = 1_000;
 
 /** Everything that defines a run. */
@@ -41,8 +41,8 @@
   readonly machineListLagMs: number;
 }
 
-/** A run; {@link start} it, let faults act on it, then {@link finish}. */
-export class Simulation implements World {
+/** A run: schedule faults, then call {@link start} and {@link finish}. */
+export class Simulation implements SimulationContext {
   readonly queue = new EventQueue();
   readonly deployment: Deployment;
   readonly profile: PolicyProfile;
@@ -53,8 +53,8 @@
   private readonly sides = new Map<string, TargetSide>();
   private readonly network: ZoneNetwork;
   private readonly calls: ReadonlyMap<string, readonly string[]>;
-  private readonly places = new Map<string, number>();
-  private readonly targetsInZone = new Map<string, number>();
+  private readonly positions = new Map<string, number>();
+  private readonly targetCounts = new Map<string, number>();
   private readonly needs = new Map<string, number>();
   private attempts = 0;
   private incarnations = 0;
@@ -91,7 +91,7 @@
     this.queue.runUntil(untilMs);
   }
 
-  /** Runs until every request has its end. */
+  /** Runs until every request has ended. */
   finish(): void {
     const longest = Math.max(...this.deployment.kinds.map(({ root }) => root.kind.deadlineMs));
     this.queue.runUntil(this.options.durationMs + longest + SETTLE_MS);
@@ -119,13 +119,13 @@
     return `a${this.attempts}`;
   }
 
-  onLeavingSign(target: string): void {
+  onTargetLeaving(target: string): void {
     this.queue.schedule(this.options.gossipMs, () => {
       if (this.targetSide(target).leaving) this.exclude(target, 'leaving', true);
     });
   }
 
-  /** Changes what the nodes see of a target. */
+  /** Sets or clears a reason why a target is not eligible, and updates all nodes. */
   exclude(target: string, reason: Parameters<TargetDirectory['set']>[1], excluded: boolean): void {
     this.directory.set(target, reason, excluded);
     const service = this.deployment.services.find(({ targets }) =>
@@ -134,7 +134,7 @@
     for (const node of this.nodes) node.updateTargets(service!.name, this.queue.now());
   }
 
-  /** All nodes and targets of a zone are gone at once. */
+  /** Stops all nodes and targets of a zone at once. */
   loseZone(zone: string): void {
     this.network.lose(zone);
     for (const target of this.targetsIn(zone)) this.targetSide(target.id).backEnd.kill();
@@ -146,7 +146,7 @@
     });
   }
 
-  /** New nodes and cold targets take the place of a lost zone's. */
+  /** Replaces the nodes and targets of a lost zone; the new targets are cold. */
   restoreZone(zone: string, coldFactor: number, warmUpMs: number): void {
     this.network.restore(zone);
     for (const service of this.deployment.services) {
@@ -197,7 +197,7 @@
     this.incarnations += 1;
     const purpose = `${target.id} ${this.incarnations}`;
     const nodes = this.nodesByZone.get(target.zone)!;
-    const node = nodes[this.placeInZone(target) % nodes.length]!;
+    const node = nodes[this.positionInZone(target) % nodes.length]!;
     const gate = policy.createTargetGate({
       initialLimit: service.slots,
       maxLimit: service.connections,
@@ -215,15 +215,17 @@
     this.sides.set(target.id, side);
   }
 
-  /** Position of a target among those of its zone; the zone's nodes share them evenly. */
-  private placeInZone(target: TargetModel): number {
-    let place = this.places.get(target.id);
-    if (place === undefined) {
-      place = this.targetsInZone.get(target.zone) ?? 0;
-      this.targetsInZone.set(target.zone, place + 1);
-      this.places.set(target.id, place);
+  /**
+   * Position of a target among those of its zone, which spreads them evenly over the zone's nodes.
+   */
+  private positionInZone(target: TargetModel): number {
+    let position = this.positions.get(target.id);
+    if (position === undefined) {
+      position = this.targetCounts.get(target.zone) ?? 0;
+      this.targetCounts.set(target.zone, position + 1);
+      this.positions.set(target.id, position);
     }
-    return place;
+    return position;
   }
 
   private entryNode(zoneIndex: number, choice: number): EmulatedNode | undefined {
--- a/src/emulator/statistics.ts
+++ b/src/emulator/statistics.ts
@@ -1,4 +1,4 @@
-/** Medians and spread over seeds. */
+/** Median and range of a value over the seeds. */
 
 /** Median with the lowest and highest value. */
 export interface Spread {
--- a/src/emulator/synthetic-fleet.ts
+++ b/src/emulator/synthetic-fleet.ts
@@ -1,4 +1,4 @@
-/** Synthetic fleets, to try the decision logic at sizes that no deployment has today. */
+/** Synthetic fleets, which run the decision logic at sizes that no deployment has today. */
 import { CRITICALITIES } from '../core/request.js';
 import {
   createCallSites,
@@ -17,10 +17,10 @@
   readonly services: number;
   readonly zones: number;
   readonly regions: number;
-  /** Services in a row on the longest chain. */
+  /** Number of services on the longest chain. */
   readonly depth: number;
   readonly kinds: number;
-  /** Calls that each back end of a chain makes; bounded so that a request stays small. */
+  /** Number of calls that each back end of a chain makes; {@link MAX_SITES} bounds their total. */
   readonly fanOut: number;
   readonly seed: number;
 }
@@ -33,7 +33,10 @@
 const SERVICE_TIME_SIGMA = 0.5;
 const DEADLINE_PER_HOP_MS = 300;
 const ATTEMPTS_PER_HOP = 2;
-/** Sites of one call tree; larger trees are cut. */
+/**
+ * Maximum number of call sites of one tree, so that a request stays small; a larger fan-out is cut
+ * off.
+ */
 const MAX_SITES = 24;
 
 /** Creates a fleet; the same shape gives the same fleet. */
@@ -106,7 +109,7 @@
   });
 }
 
-/** A chain of services in a row; the extra calls of a fan-out are leaves beside it. */
+/** Creates a chain of services; the additional calls of a fan-out are leaves. */
 function createTree(
   shape: FleetShape,
   kindIndex: number,
@@ -140,7 +143,7 @@
   return build(first, 1);
 }
 
-/** The services that each service calls, over all kinds. */
+/** Returns the services that each service calls, over all kinds. */
 function collectCalls(kinds: readonly CallerKind[]): Map<string, string[]> {
   const calls = new Map<string, string[]>();
   const visit = (site: CallSite): void => {
--- a/src/emulator/target-directory.ts
+++ b/src/emulator/target-directory.ts
@@ -1,4 +1,6 @@
-/** What the nodes see of the targets: list of machines, leaving signs, lost zones. */
+/**
+ * The nodes' view of the targets: list of machines, leaving targets, lost zones, apparent health.
+ */
 import type { TargetView } from '../core/overload.js';
 import { chooseSubset, subsetRank } from '../core/routing/target-subset.js';
 import type { Deployment } from './deployment.js';
@@ -6,14 +8,14 @@
 /** Why a target is not eligible. */
 export type Exclusion = 'unlisted' | 'leaving' | 'zone-lost' | 'looks-down';
 
-/** Shared view of all targets; delays are the caller's concern. */
+/** View of all targets that the nodes share; changes show at once, so callers apply the delays. */
 export class TargetDirectory {
   private readonly exclusions = new Map<string, Set<Exclusion>>();
   private readonly views = new Map<string, readonly TargetView[]>();
 
   constructor(private readonly deployment: Deployment) {}
 
-  /** Targets of a service as the nodes see them now. */
+  /** Returns the targets of a service as the nodes see them now. */
   viewOf(service: string): readonly TargetView[] {
     let view = this.views.get(service);
     if (view === undefined) {
@@ -23,7 +25,7 @@
     return view;
   }
 
-  /** The same for one node, which may use a subset of them. */
+  /** Returns the targets of a service that one node uses: all, or its subset of them. */
   viewOfNode(service: string, node: string, zone: string): readonly TargetView[] {
     const all = this.viewOf(service);
     if (!this.deployment.subsets) return all;
@@ -35,7 +37,7 @@
     return chooseSubset(candidates, zone);
   }
 
-  /** Sets or clears one reason against a target. */
+  /** Sets or clears one reason why a target is not eligible. */
   set(target: string, exclusion: Exclusion, excluded: boolean): void {
     const reasons = this.exclusions.get(target) ?? new Set();
     if (excluded) reasons.add(exclusion);
--- a/src/emulator/target-side.ts
+++ b/src/emulator/target-side.ts
@@ -1,6 +1,6 @@
 /**
  * The target side of an emulated node: the policy's gate, the connections and the calls to
- * one back end. It does under virtual time what `src/target` does on sockets.
+ * one back end. It models in virtual time what `src/target` does on sockets.
  */
 import type { AttemptLedger } from '../core/attempt-ledger.js';
 import type { GateAction, Refusal, TargetGate } from '../core/overload.js';
@@ -12,9 +12,9 @@
 import { DispatchedJob, type JobEndListener } from './dispatched-job.js';
 import type { EmulatedNode } from './emulated-node.js';
 import type { ScheduledEvent } from './event-queue.js';
-import type { IncomingAttempt, World } from './world.js';
+import type { IncomingAttempt, SimulationContext } from './simulation-context.js';
 
-/** Retry time on refusals for which the policy gave none, in milliseconds. */
+/** Retry time of refusals that do not come from the policy, in milliseconds. */
 const DEFAULT_RETRY_AFTER_MS = 100;
 
 type EntryState = 'waiting' | 'connecting' | 'sent' | 'ended';
@@ -29,7 +29,7 @@
   job: DispatchedJob | undefined;
 }
 
-/** Parts of a {@link TargetSide}. */
+/** Components of a {@link TargetSide}. */
 export interface TargetSideOptions {
   readonly target: string;
   readonly serviceIndex: number;
@@ -39,9 +39,9 @@
   readonly ledger: AttemptLedger;
 }
 
-/** Admission before one target, and the calls to it. */
+/** Admits attempts to one target and sends them to it. */
 export class TargetSide implements JobEndListener {
-  /** Set once a sign was seen that the target is leaving. */
+  /** Whether an answer or a refusal has shown that the target is leaving. */
   leaving = false;
   private readonly byTicket = new Map<number, Entry>();
   private readonly byAttempt = new Map<IncomingAttempt, Entry>();
@@ -49,7 +49,7 @@
   private timer: ScheduledEvent | undefined;
 
   constructor(
-    private readonly world: World,
+    private readonly simulation: SimulationContext,
     readonly node: EmulatedNode,
     private readonly options: TargetSideOptions,
   ) {}
@@ -62,9 +62,9 @@
     return this.options.gate;
   }
 
-  /** State of the gate. */
+  /** Load that the gate reports now. */
   get load(): LoadReport {
-    return this.options.gate.report(this.world.queue.now());
+    return this.options.gate.report(this.simulation.queue.now());
   }
 
   /** Requests waiting for a connection or in the back end. */
@@ -72,17 +72,17 @@
     return this.options.pool.waiting + this.options.backEnd.queued;
   }
 
-  /** An attempt arrives at the node. */
+  /** Offers an arriving attempt to the gate. */
   receive(attempt: IncomingAttempt): void {
     if (this.leaving) {
       attempt.reply(
-        this.notRun(attempt, 'draining', ResultCode.TargetRefused, DEFAULT_RETRY_AFTER_MS),
+        this.createNotRunEnd(attempt, 'draining', ResultCode.TargetRefused, DEFAULT_RETRY_AFTER_MS),
       );
       return;
     }
     this.lastTicket += 1;
     const ticket = this.lastTicket;
-    const now = this.world.queue.now();
+    const now = this.simulation.queue.now();
     const entry: Entry = {
       ticket,
       attempt,
@@ -96,13 +96,13 @@
     this.apply(this.options.gate.offer(now, entry.ticket, attempt.context));
   }
 
-  /** The calling node gave the attempt up. */
+  /** Cancels an attempt that the calling node gave up. */
   cancel(attempt: IncomingAttempt, outcome: 'cancelled' | 'timeout'): void {
     const entry = this.byAttempt.get(attempt);
     if (entry === undefined) return;
     if (entry.state === 'waiting') {
-      this.forget(entry);
-      this.apply(this.options.gate.cancel(this.world.queue.now(), entry.ticket));
+      this.discard(entry);
+      this.apply(this.options.gate.cancel(this.simulation.queue.now(), entry.ticket));
       return;
     }
     this.closeConnection(entry);
@@ -110,9 +110,9 @@
     this.complete(entry, outcome);
   }
 
-  /** Reports an admission threshold learned from a call below this target. */
+  /** Reports to the gate the admission threshold of a service that this target called. */
   noteDownstream(service: string, threshold: number, kind: string): void {
-    this.options.gate.noteDownstream(this.world.queue.now(), service, threshold, kind);
+    this.options.gate.noteDownstream(this.simulation.queue.now(), service, threshold, kind);
   }
 
   private apply(actions: readonly GateAction[]): void {
@@ -133,9 +133,9 @@
   }
 
   private startTimer(at: number): ScheduledEvent {
-    return this.world.queue.scheduleAt(at, () => {
+    return this.simulation.queue.scheduleAt(at, () => {
       this.timer = undefined;
-      this.apply(this.options.gate.onTimer(this.world.queue.now()));
+      this.apply(this.options.gate.onTimer(this.simulation.queue.now()));
     });
   }
 
@@ -143,13 +143,13 @@
     const { attempt } = entry;
     const { ledger, pool, serviceIndex } = this.options;
     entry.state = 'connecting';
-    entry.job = new DispatchedJob(this.world, this, attempt, ledger, serviceIndex, this);
+    entry.job = new DispatchedJob(this.simulation, this, attempt, ledger, serviceIndex, this);
     entry.waiter = () => {
       this.onConnection(entry);
     };
     ledger.open(attempt.id, attempt.granted);
-    const waitedMs = this.world.queue.now() - entry.offeredAt;
-    this.world.recorder.onDispatch(attempt.record, attempt.site, waitedMs);
+    const waitedMs = this.simulation.queue.now() - entry.offeredAt;
+    this.simulation.recorder.onDispatch(attempt.record, attempt.site, waitedMs);
     pool.acquire(entry.waiter);
   }
 
@@ -159,20 +159,20 @@
       return;
     }
     entry.state = 'sent';
-    this.world.queue.schedule(this.world.deployment.localDelayMs, () => {
+    this.simulation.queue.schedule(this.simulation.deployment.localDelayMs, () => {
       if (entry.state !== 'sent') return;
       const { record, site } = entry.attempt;
-      if (this.options.backEnd.state !== 'dead') this.world.recorder.onAttempt(record, site);
+      if (this.options.backEnd.state !== 'dead') this.simulation.recorder.onAttempt(record, site);
       this.options.backEnd.accept(entry.job!);
     });
   }
 
   private refuse(entry: Entry, refusal: Refusal): void {
-    this.forget(entry);
+    this.discard(entry);
     const { record, site } = entry.attempt;
-    this.world.recorder.onRefusal(record, site, 'gate', refusal.code);
+    this.simulation.recorder.onRefusal(record, site, 'gate', refusal.code);
     entry.attempt.reply(
-      this.notRun(entry.attempt, 'overloaded', refusal.code, refusal.retryAfterMs),
+      this.createNotRunEnd(entry.attempt, 'overloaded', refusal.code, refusal.retryAfterMs),
     );
   }
 
@@ -181,16 +181,17 @@
     if (entry?.state !== 'sent') return;
     this.options.pool.release(true);
     const attemptsUsed = this.options.ledger.close(entry.attempt.id);
-    if (this.options.backEnd.announcesLeaving) this.onLeavingSign();
+    if (this.options.backEnd.announcesLeaving) this.markLeaving();
     this.complete(entry, 'success');
     const { gate } = this.options;
-    if (isLoadRefusal(failureCode)) gate.noteWastedRun(this.world.queue.now(), attempt.context);
-    const asFailure = !succeeded && this.world.profile.retriesErrorAnswers;
+    if (isLoadRefusal(failureCode))
+      gate.noteWastedRun(this.simulation.queue.now(), attempt.context);
+    const asFailure = !succeeded && this.simulation.profile.retriesErrorAnswers;
     entry.attempt.reply({
       outcome: asFailure ? 'failed' : 'success',
       complete: succeeded,
       code: succeeded ? ResultCode.Ok : failureCode,
-      load: this.options.gate.report(this.world.queue.now(), entry.attempt.context),
+      load: this.options.gate.report(this.simulation.queue.now(), entry.attempt.context),
       retryAfterMs: undefined,
       mayHaveRun: true,
       attemptsUsed,
@@ -202,15 +203,15 @@
     if (entry?.state !== 'sent') return;
     this.options.pool.release(reason !== 'unreachable');
     const spent = this.options.ledger.close(entry.attempt.id);
-    // Nothing was sent to an unreachable target.
+    // Nothing was sent to an unreachable target, so no attempt is used.
     const attemptsUsed = reason === 'unreachable' ? 0 : spent;
-    if (reason === 'draining') this.onLeavingSign();
+    if (reason === 'draining') this.markLeaving();
     this.complete(entry, reason);
     const { record, site } = entry.attempt;
     const code = reason === 'unreachable' ? ResultCode.TargetUnreachable : ResultCode.TargetRefused;
-    this.world.recorder.onRefusal(record, site, 'target', code);
+    this.simulation.recorder.onRefusal(record, site, 'target', code);
     entry.attempt.reply({
-      ...this.notRun(entry.attempt, reason, code, DEFAULT_RETRY_AFTER_MS),
+      ...this.createNotRunEnd(entry.attempt, reason, code, DEFAULT_RETRY_AFTER_MS),
       attemptsUsed,
     });
   }
@@ -222,23 +223,33 @@
     const attemptsUsed = this.options.ledger.close(entry.attempt.id);
     this.complete(entry, 'failed');
     entry.attempt.reply({
-      ...this.notRun(entry.attempt, 'failed', ResultCode.AnswerIncomplete, DEFAULT_RETRY_AFTER_MS),
+      ...this.createNotRunEnd(
+        entry.attempt,
+        'failed',
+        ResultCode.AnswerIncomplete,
+        DEFAULT_RETRY_AFTER_MS,
+      ),
       mayHaveRun: true,
       attemptsUsed,
     });
   }
 
-  /** Refuses all new work from now on, and tells the others. */
-  onLeavingSign(): void {
+  /** Refuses all waiting and new work from now on, and notifies the other nodes. */
+  markLeaving(): void {
     if (this.leaving) return;
     this.leaving = true;
-    this.world.onLeavingSign(this.options.target);
+    this.simulation.onTargetLeaving(this.options.target);
     const waiting = [...this.byTicket.values()].filter(({ state }) => state === 'waiting');
     for (const entry of waiting) {
-      this.forget(entry);
-      this.apply(this.options.gate.cancel(this.world.queue.now(), entry.ticket));
+      this.discard(entry);
+      this.apply(this.options.gate.cancel(this.simulation.queue.now(), entry.ticket));
       entry.attempt.reply(
-        this.notRun(entry.attempt, 'draining', ResultCode.TargetRefused, DEFAULT_RETRY_AFTER_MS),
+        this.createNotRunEnd(
+          entry.attempt,
+          'draining',
+          ResultCode.TargetRefused,
+          DEFAULT_RETRY_AFTER_MS,
+        ),
       );
     }
   }
@@ -253,23 +264,23 @@
   }
 
   private complete(entry: Entry, outcome: AttemptOutcome): void {
-    this.forget(entry);
-    this.apply(this.options.gate.complete(this.world.queue.now(), entry.ticket, outcome));
+    this.discard(entry);
+    this.apply(this.options.gate.complete(this.simulation.queue.now(), entry.ticket, outcome));
   }
 
-  private forget(entry: Entry): void {
+  private discard(entry: Entry): void {
     entry.state = 'ended';
     this.byTicket.delete(entry.ticket);
     this.byAttempt.delete(entry.attempt);
   }
 
-  private notRun(
+  private createNotRunEnd(
     attempt: IncomingAttempt,
     outcome: AttemptOutcome,
     code: ResultCode,
     retryAfterMs: number,
   ): AttemptEnd {
-    const load = this.options.gate.report(this.world.queue.now(), attempt.context);
+    const load = this.options.gate.report(this.simulation.queue.now(), attempt.context);
     const attemptsUsed = 0;
     return { outcome, complete: false, code, load, retryAfterMs, mayHaveRun: false, attemptsUsed };
   }
--- a/src/emulator/unshared-attempts.ts
+++ b/src/emulator/unshared-attempts.ts
@@ -1,15 +1,15 @@
-/** Attempts of a call where each layer retries by itself, without a bound on the chain. */
+/** Attempts of a call when each layer retries by itself and nothing bounds the whole chain. */
 
-/** More than any layer's own retries use. */
-const PLENTY = 255;
+/** More attempts than the retries of any one layer use. */
+const UNBOUNDED_ATTEMPTS = 255;
 
-/** Stands in for an attempt budget where none is shared. */
+/** Replaces the attempt budget when layers do not share one. */
 export class UnsharedAttempts {
-  readonly remaining = PLENTY;
+  readonly remaining = UNBOUNDED_ATTEMPTS;
   readonly used = 0;
 
   grant(): number {
-    return PLENTY;
+    return UNBOUNDED_ATTEMPTS;
   }
 
   settle(): void {}
--- a/src/emulator/zone-network.ts
+++ b/src/emulator/zone-network.ts
@@ -1,8 +1,8 @@
-/** Links between zones, and which zones are lost. */
+/** Network between the zones: message delays, and which zones are lost. */
 import { delayBetween, type Deployment } from './deployment.js';
 import type { EventQueue } from './event-queue.js';
 
-/** The links of a deployment. */
+/** The network of a deployment. */
 export class ZoneNetwork {
   private readonly delays: ReadonlyMap<string, ReadonlyMap<string, number>>;
   /** Time at which a zone was lost, while it is lost. */
@@ -11,7 +11,7 @@
   constructor(
     private readonly deployment: Deployment,
     private readonly queue: EventQueue,
-    /** Time after which callers know that their zone is lost, in milliseconds. */
+    /** Time until callers notice that their zone is lost, in milliseconds. */
     private readonly failoverMs: number,
   ) {
     const names = deployment.zones.map(({ name }) => name);
@@ -23,7 +23,10 @@
     );
   }
 
-  /** Delivers a message after the link's delay, unless either zone is lost meanwhile. */
+  /**
+   * Delivers a message after the delay. Drops it when either zone is lost at sending time, or the
+   * receiving zone at delivery time.
+   */
   send(from: string, to: string, deliver: () => void): void {
     if (this.lostAt.has(from) || this.lostAt.has(to)) return;
     this.queue.schedule(this.delays.get(from)!.get(to)!, () => {
@@ -31,12 +34,12 @@
     });
   }
 
-  /** The zone's machines are gone. */
+  /** Marks the zone as lost; all its machines are gone. */
   lose(zone: string): void {
     this.lostAt.set(zone, this.queue.now());
   }
 
-  /** The zone has machines again. */
+  /** Marks the zone as available again. */
   restore(zone: string): void {
     this.lostAt.delete(zone);
   }
@@ -46,9 +49,9 @@
   }
 
   /**
-   * The zone that callers of a zone use: their own, or the next one that is not lost.
+   * Returns the zone that callers of a zone use: their own, or the next one that is not lost.
    *
-   * @returns `undefined` while they still send into a lost zone, or when all are lost
+   * @returns `undefined` while callers still send into a lost zone, or when all are lost
    */
   entryZone(zoneIndex: number): string | undefined {
     const { zones } = this.deployment;
