--- a/src/trials/admin-client.ts
+++ b/src/trials/admin-client.ts
@@ -1,15 +1,15 @@
-/** Reads and commands of the operators' interface as plain JSON, without generated code. */
+/** Client of the operators' interface in plain JSON, without the generated client. */
 import type { Settings } from '../config/settings.js';
 import { requestJson } from './http-json.js';
 
-/** Members of the answers that the driver reads; JSON leaves out false, zero and empty. */
-interface StatusAnswer {
+/** The fields that are used here. The JSON encoding omits fields that are false, zero or empty. */
+interface GetStatusResponse {
   readonly node?: { readonly id?: string; readonly ready?: boolean };
   readonly members?: readonly { readonly id: string; readonly state?: string }[];
 }
 
-interface InForceAnswer {
-  /** 64-bit numbers are text in JSON. */
+interface GetInForceResponse {
+  /** The JSON encoding writes 64-bit integers as strings. */
   readonly revision?: { readonly revision?: string };
   readonly nodes?: readonly { readonly node: string; readonly inForce?: boolean }[];
 }
@@ -24,27 +24,27 @@
     this.headers = { authorization: `Bearer ${settings.admin.token}` };
   }
 
-  /** Members that the node sees and that have not failed. */
+  /** IDs of the members that this node considers alive. */
   async listMembers(): Promise<readonly string[]> {
-    const status = await this.call<StatusAnswer>('GetStatus', {});
+    const status = await this.call<GetStatusResponse>('GetStatus', {});
     return (status.members ?? []).filter(({ state }) => state === 'alive').map(({ id }) => id);
   }
 
   async isReady(): Promise<boolean> {
-    const status = await this.call<StatusAnswer>('GetStatus', {});
+    const status = await this.call<GetStatusResponse>('GetStatus', {});
     return status.node?.ready === true;
   }
 
   /** Nodes at which the newest revision known to this node is in force. */
   async nodesInForce(tenant: string): Promise<readonly string[]> {
-    const answer = await this.call<InForceAnswer>('GetInForce', { tenant });
-    return (answer.nodes ?? []).filter(({ inForce }) => inForce === true).map(({ node }) => node);
+    const response = await this.call<GetInForceResponse>('GetInForce', { tenant });
+    return (response.nodes ?? []).filter(({ inForce }) => inForce === true).map(({ node }) => node);
   }
 
-  /** The tenant's revision in force at this node; 0 when it has none. */
+  /** The tenant's revision in force at this node; 0 when there is none. */
   async revisionInForce(tenant: string): Promise<number> {
-    const answer = await this.call<InForceAnswer>('GetInForce', { tenant });
-    return Number(answer.revision?.revision ?? 0);
+    const response = await this.call<GetInForceResponse>('GetInForce', { tenant });
+    return Number(response.revision?.revision ?? 0);
   }
 
   async applyRules(
--- a/src/trials/commands.ts
+++ b/src/trials/commands.ts
@@ -110,11 +110,11 @@
     const { sent, complete, doubled, wrongAnswer, notRunButRan, aboveBound, maxAttempts } = report;
     this.print(
       `seed ${seed}: ${sent} sent, ${complete} complete, ${doubled} doubled, ` +
-        `${wrongAnswer} wrong, ${notRunButRan} told not-run but run, ${aboveBound} above the ` +
+        `${wrongAnswer} wrong, ${notRunButRan} reported not-run but run, ${aboveBound} above the ` +
         `bound, at most ${maxAttempts} attempts; calm: ${calmComplete} of ${calmSent} complete`,
     );
   }
 }
 
-/** Commands of this module. */
+/** Commands that run a deployment of processes. */
 export const commands = [BenchLatencyCommand, ExperimentFaultsCommand];
--- a/src/trials/configuration.process.test.ts
+++ b/src/trials/configuration.process.test.ts
@@ -1,7 +1,8 @@
 /**
- * Nodes as separate processes: an accepted revision reaches every zone and never falls back,
- * under kills, a stopped process, lost answers and outages of the platform. The times until in
- * force everywhere are printed, not judged.
+ * Rules revisions with nodes as separate processes: every accepted revision reaches every zone,
+ * and no node returns to an older one, although nodes are killed or suspended, responses are lost
+ * and the platform has outages. The time until a revision is in force everywhere is printed, not
+ * asserted.
  */
 import assert from 'node:assert/strict';
 import { after, before, test, type TestContext } from 'node:test';
@@ -10,8 +11,8 @@
 
 const TENANT = 'recife';
 const TIMEOUT_MS = 120_000;
-/** Longer than it takes the other nodes to consider a stopped process failed. */
-const STOPPED_MS = 6_000;
+/** Longer than it takes the other nodes to consider a suspended process failed. */
+const SUSPENSION_MS = 6_000;
 
 let fleet: NodeFleet;
 /** Newest accepted revision. */
@@ -43,13 +44,15 @@
 
 async function reportTime(context: TestContext): Promise<void> {
   const tookMs = await fleet.untilInForce(accepted);
-  context.diagnostic(`revision ${accepted} everywhere ${Math.round(tookMs)} ms after its answer`);
+  context.diagnostic(
+    `revision ${accepted} in force everywhere ${Math.round(tookMs)} ms after the response`,
+  );
 }
 
 interface FaultCase {
   readonly name: string;
   run(): Promise<void>;
-  /** Ends the fault once the revision has been seen everywhere. */
+  /** Ends the fault once the revision is in force everywhere. */
   end?(): Promise<void>;
 }
 
@@ -108,14 +111,14 @@
       const { process } = findNode('zone-c');
       process.signal('SIGSTOP');
       await apply(findNode('zone-a'), 'op-stopped');
-      await new Promise((resolve) => setTimeout(resolve, STOPPED_MS));
+      await new Promise((resolve) => setTimeout(resolve, SUSPENSION_MS));
       process.signal('SIGCONT');
     },
   },
   {
     name: 'platform outage right after acceptance',
     run: async () => {
-      // No watch may deliver the change: it has to spread between the nodes.
+      // Watches are cut, so the change can spread only between the nodes.
       await fleet.platform.control({ cutWatches: true });
       await apply(findNode('zone-b'), 'op-outage');
       await fleet.platform.control({ outage: 'refuse' });
--- a/src/trials/demo.ts
+++ b/src/trials/demo.ts
@@ -1,12 +1,13 @@
 /**
- * The demo: a three-zone deployment of separate processes with load, checked against the
- * journals of both ends. `scripts/demo` runs it. Its last line is one JSON object.
+ * The demo: runs load on a three-zone deployment of separate processes and checks the guarantees
+ * against the journals of callers and back ends. `scripts/demo` runs it. The last line of output
+ * is one JSON object.
  */
 import type { CallersResult } from '../stand-ins/callers/start-callers.js';
 import type { KindSummary } from '../stand-ins/callers/summary.js';
 import { Deployment } from './deployment.js';
 import type { ExampleName } from './deployment-plan.js';
-import { checkGuarantees, holds, type GuaranteeReport } from './guarantees.js';
+import { checkGuarantees, hasNoViolations, type GuaranteeReport } from './guarantees.js';
 import {
   addedLatency,
   measurePaths,
@@ -28,7 +29,7 @@
   process.stdout.write(`${line}\n`);
 }
 
-/** Applies the rules as an operator does: by the command line. */
+/** Applies the rules with the `config apply` command, as an operator does. */
 async function applyByCommandLine(deployment: Deployment): Promise<void> {
   const { rulesFile, rules, nodes } = deployment.plan;
   const { listen, admin } = nodes[0]!.settings;
@@ -39,9 +40,10 @@
   const timer = setTimeout(() => {
     command.signal('SIGKILL');
   }, APPLY_TIMEOUT_MS);
-  const end = await command.ended;
+  const exit = await command.ended;
   clearTimeout(timer);
-  if (end.code !== 0) throw new Error(`config apply ended with ${end.code}: ${command.stderr}`);
+  if (exit.code !== 0)
+    throw new Error(`config apply exited with code ${exit.code}: ${command.stderr}`);
   print(command.stdout.trimEnd());
   await deployment.waitInForce();
   print(`rules of ${rules.tenant} are in force at ${nodes.length} nodes`);
@@ -71,13 +73,13 @@
 
 function printKinds(kinds: readonly KindSummary[], report: GuaranteeReport): void {
   const rows = kinds.map((kind) => {
-    const figures = report.kinds.find((candidate) => candidate.kind === kind.kind);
-    const mean = (figures?.attempts ?? 0) / Math.max(1, figures?.requests ?? 0);
+    const figuresOfKind = report.kinds.find((candidate) => candidate.kind === kind.kind);
+    const mean = (figuresOfKind?.attempts ?? 0) / Math.max(1, figuresOfKind?.requests ?? 0);
     const { p50, p99 } = kind.latency;
     return [
       kind.kind,
       ...[kind.sent, kind.complete, kind.refused, kind.failed, kind.unknown, kind.wrong],
-      ...[p50.toFixed(1), p99.toFixed(1), mean.toFixed(2), figures?.maxAttempts ?? 0],
+      ...[p50.toFixed(1), p99.toFixed(1), mean.toFixed(2), figuresOfKind?.maxAttempts ?? 0],
     ];
   });
   const heading = ['kind', 'sent', 'complete', 'refused', 'failed', 'unknown', 'wrong'];
@@ -109,9 +111,9 @@
   const deployment = await Deployment.startWithoutRules({ example });
   try {
     const { targets, nodes } = deployment;
-    print(`platform, ${targets.length} back ends and ${nodes.length} nodes run`);
+    print(`platform, ${targets.length} back ends and ${nodes.length} nodes are running`);
     await applyByCommandLine(deployment);
-    print(`${LOAD_MS / 1000} s of load`);
+    print(`running load for ${LOAD_MS / 1000} s`);
     const { callers, probe } = await runLoad(deployment);
     const journals = await deployment.readJournals();
     const { rules } = deployment.plan;
@@ -121,7 +123,7 @@
     printKinds(callers.kinds, report);
     printProbe(probe, added);
     for (const violation of report.violations) print(`broken: ${violation}`);
-    const succeeded = holds(report) && report.sent > 0;
+    const succeeded = hasNoViolations(report) && report.sent > 0;
     if (!succeeded || report.complete === 0) print(deployment.logs());
     await deployment.stop('SIGTERM');
     const { sent, complete, doubled, wrongAnswer, maxAttempts, notRunButRan, aboveBound } = report;
--- a/src/trials/deployment-plan.ts
+++ b/src/trials/deployment-plan.ts
@@ -1,4 +1,4 @@
-/** The example's documents with the addresses of one run put in. */
+/** Documents of an example deployment with the addresses of one run. */
 import { mkdirSync, mkdtempSync, readdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -14,7 +14,7 @@
 /** Names of the example deployments. */
 export type ExampleName = 'recife' | 'trondheim';
 
-/** What can be changed about an example. */
+/** Selects an example and changes its documents. */
 export interface PlanOptions {
   readonly example: ExampleName;
   /** Nodes in each zone; 1 by default. */
@@ -24,13 +24,11 @@
   readonly changeSettings?: (settings: Settings) => Settings;
 }
 
-/** A node of the plan. */
 export interface PlannedNode {
   readonly settings: Settings;
   readonly settingsFile: string;
 }
 
-/** A back end of the plan. */
 export interface PlannedTarget {
   readonly id: string;
   readonly service: string;
@@ -40,7 +38,7 @@
   readonly connections: number;
 }
 
-/** Everything that a run starts. */
+/** Processes that a run starts, and their documents. */
 export interface DeploymentPlan {
   readonly rules: Rules;
   readonly rulesFile: string;
@@ -53,46 +51,53 @@
   readonly machines: readonly Machine[];
   /** Scratch directory of the run. */
   readonly directory: string;
-  /** Lets other deployments have the ports; call it when every process has ended. */
+  /** Frees the ports for other deployments; call it when every process has exited. */
   releasePorts(): void;
 }
 
 const PORTS_PER_NODE = 3;
 const LOOPBACK = '127.0.0.1';
 
-/** Reads an example, gives every process its own port and writes the documents of the run. */
+/** Reads an example, assigns ports to every process and writes the documents of the run. */
 export async function planDeployment(options: PlanOptions): Promise<DeploymentPlan> {
   const source = join('examples', options.example);
   const directory = mkdtempSync(join(tmpdir(), `sillshore-${options.example}-`));
   mkdirSync(directory, { recursive: true });
   const baseRules = expectValid(parseRules(readText(source, 'rules.yaml')));
   const baseWorkload = expectValid(parseWorkload(readText(source, 'workload.yaml')));
-  const changed = options.changeRules?.(baseRules) ?? baseRules;
+  const changedRules = options.changeRules?.(baseRules) ?? baseRules;
   const workload = options.changeWorkload?.(baseWorkload) ?? baseWorkload;
 
   const zones = readdirSync(source).filter((file) => file.startsWith('node-'));
   const nodesPerZone = options.nodesPerZone ?? 1;
-  const targetCount = changed.services.flatMap(({ targets }) => targets).length;
+  const targetCount = changedRules.services.flatMap(({ targets }) => targets).length;
   const nodeCount = zones.length * nodesPerZone;
   const reserved = await reservePorts(2 + targetCount + nodeCount * PORTS_PER_NODE);
   const ports = [...reserved.ports];
   const takeAddress = (): string => `${LOOPBACK}:${ports.shift()!}`;
   const [platformPort = 0, platformControlPort = 0] = ports.splice(0, 2);
 
-  const rules = withAddresses(changed, takeAddress);
+  const rules = withAddresses(changedRules, takeAddress);
   const platform = `http://${LOOPBACK}:${platformPort}`;
-  const bases = zones.map((file) => expectValid(parseSettings(readText(source, file))));
-  const settings = bases.flatMap((base) =>
+  const baseSettings = zones.map((file) => expectValid(parseSettings(readText(source, file))));
+  const settings = baseSettings.flatMap((base) =>
     Array.from({ length: nodesPerZone }, (_, index) => createSettings(base, index, takeAddress)),
   );
   const seeds = settings.map(({ listen }) => listen.peer);
-  const nodes = settings.map((one) => {
-    const own: Settings = {
-      ...one,
-      platform: { ...one.platform, keyValue: [platform], machines: `${platform}/machines` },
-      peers: { ...one.peers, seeds: seeds.filter((seed) => seed !== one.listen.peer) },
+  const nodes = settings.map((nodeSettings) => {
+    const connected: Settings = {
+      ...nodeSettings,
+      platform: {
+        ...nodeSettings.platform,
+        keyValue: [platform],
+        machines: `${platform}/machines`,
+      },
+      peers: {
+        ...nodeSettings.peers,
+        seeds: seeds.filter((seed) => seed !== nodeSettings.listen.peer),
+      },
     };
-    const final = options.changeSettings?.(own) ?? own;
+    const final = options.changeSettings?.(connected) ?? connected;
     const settingsFile = join(directory, `${final.node.id}.yaml`);
     writeFileSync(settingsFile, stringify(final));
     return { settings: final, settingsFile };
@@ -120,7 +125,7 @@
   };
 }
 
-/** Unwraps a result whose failure is a defect of the example. */
+/** Returns the value of a result; throws when the example's document is invalid. */
 export function expectValid<T>(result: Result<T, Failure>): T {
   if (result.isErr) throw new Error(JSON.stringify(result.error));
   return result.value;
--- a/src/trials/deployment.ts
+++ b/src/trials/deployment.ts
@@ -1,6 +1,6 @@
 /**
  * A whole deployment as separate processes on loopback: platform, back ends, nodes, callers.
- * Everything that it starts is stopped by `stop`, also after a failure.
+ * `stop` stops every process that was started, also after a failure.
  */
 import { readFileSync, rmSync } from 'node:fs';
 import type { BackendControl } from '../stand-ins/backend/backend-faults.js';
@@ -18,65 +18,62 @@
 import { FatalError, poll, requestJson } from './http-json.js';
 import { ManagedProcess, type ProcessEnd } from './managed-process.js';
 
-/** Characters of each process's log that a failed run prints; a restart of a node takes some 4,000. */
-const KEPT_LOG = 100_000;
+/** Printed at most per process after a failure; a node restart logs about 4,000 characters. */
+const MAX_LOG_CHARACTERS = 100_000;
 const START_TIMEOUT_MS = 20_000;
-/** Longest planned stop that is waited for. */
+/** A node whose planned stop takes longer is killed. */
 const STOP_TIMEOUT_MS = 20_000;
-/** Callers get this long after the end of their run before they are given up. */
-const CALLERS_GRACE_MS = 30_000;
+/** Callers that are still running this long after the end of their load are killed. */
+const CALLERS_EXIT_TIMEOUT_MS = 30_000;
 
-/** A node of the deployment. */
 export interface RunningNode {
   readonly plan: PlannedNode;
   readonly id: string;
-  /** Base URL of its entry. */
+  /** Base URL of the node's entry. */
   readonly entry: string;
   readonly admin: AdminClient;
   process: ManagedProcess;
 }
 
-/** A back end of the deployment. */
 export interface RunningTarget {
   readonly plan: PlannedTarget;
   process: ManagedProcess;
 }
 
-/** How callers are run. */
+/** Load of one run of callers. */
 export interface CallersRunOptions {
   readonly durationMs: number;
   readonly rateFactor?: number;
   readonly seed?: number;
   readonly kinds?: readonly string[];
   readonly entries?: readonly string[];
-  /** Tries in all, with hard repeats when above 1. */
+  /** Attempts per request at most. Callers retry unless the answer is complete or wrong. */
   readonly tries?: number;
   readonly retryDelayMs?: number;
   readonly tryPatience?: number;
 }
 
-/** Callers at work. */
+/** A running process of callers. */
 export interface CallersRun {
   readonly process: ManagedProcess;
   setRateFactor(factor: number): Promise<void>;
-  /** Ends the sending early. */
+  /** Stops sending before `durationMs` has passed. */
   stop(): Promise<void>;
-  /** Result of the whole run. */
+  /** Result of the run; rejects when the process exits with an error. */
   readonly result: Promise<CallersResult>;
 }
 
-/** A started deployment. */
 export class Deployment {
   readonly nodes: RunningNode[] = [];
   readonly targets: RunningTarget[] = [];
   private platform: ManagedProcess | undefined;
   private readonly started: ManagedProcess[] = [];
-  /** Last journals of the back ends that were killed. */
+  /** Journals of killed back ends, read right before the kill. */
   private readonly keptJournals: BackendJournal[] = [];
 
   private constructor(readonly plan: DeploymentPlan) {}
 
-  /** Starts everything and brings the example's rules into force at every node. */
+  /** Starts every process and applies the example's rules at every node. */
   static async start(options: PlanOptions): Promise<Deployment> {
     const deployment = await Deployment.startWithoutRules(options);
     try {
@@ -88,7 +85,7 @@
     }
   }
 
-  /** Starts everything; the platform holds no rules yet. */
+  /** Starts every process; the store contains no rules yet. */
   static async startWithoutRules(options: PlanOptions): Promise<Deployment> {
     const deployment = new Deployment(await planDeployment(options));
     try {
@@ -100,12 +97,12 @@
     }
   }
 
-  /** Entries of the nodes that run. */
+  /** Base URLs of the entries of the running nodes. */
   get entries(): string[] {
     return this.nodes.filter((node) => node.process.running).map((node) => node.entry);
   }
 
-  /** Applies the rules document of the plan by the operators' interface of the first node. */
+  /** Applies the plan's rules through the operators' interface of the first node. */
   async applyRules(): Promise<void> {
     const { tenant } = this.plan.rules;
     const document = readFileSync(this.plan.rulesFile, 'utf8');
@@ -113,7 +110,7 @@
     await this.waitInForce();
   }
 
-  /** Waits until the rules are in force and the node is ready at each running node. */
+  /** Waits until every running node is ready and knows the rules to be in force at all of them. */
   async waitInForce(): Promise<void> {
     const running = this.nodes.filter((node) => node.process.running);
     await poll('rules in force at every node', START_TIMEOUT_MS, async () => {
@@ -140,7 +137,7 @@
     );
   }
 
-  /** Starts callers; their journal is part of the result. */
+  /** Starts callers. The result includes their journal. */
   async startCallers(options: CallersRunOptions): Promise<CallersRun> {
     const flag = (name: string, value: string | number | undefined): string[] =>
       value === undefined ? [] : [`--${name}`, `${value}`];
@@ -172,30 +169,30 @@
     };
   }
 
-  /** Switches faults of a back end. */
+  /** Switches faults of a back end on or off. */
   async controlTarget(id: string, change: BackendControl): Promise<void> {
     const { plan } = this.findTarget(id);
     await requestJson(`http://${plan.address}/control`, change);
   }
 
-  /** Switches faults of the platform. */
+  /** Switches faults of the platform on or off. */
   async controlPlatform(change: unknown): Promise<void> {
     await requestJson(`http://127.0.0.1:${this.plan.platformControlPort}/control`, change);
   }
 
-  /** Journals of the back ends that run, and the last ones read of those that were killed. */
+  /** Journals of the running back ends, and those that were read before a back end was killed. */
   async readJournals(): Promise<BackendJournal[]> {
     const running = this.targets.filter(({ process }) => process.running);
     const journals = await Promise.all(running.map((target) => this.readJournal(target)));
     return [...journals, ...this.keptJournals];
   }
 
-  /** Whether some back end was killed, so that effects may be missing in the journals. */
+  /** Whether effects may be missing in the journals, because a back end was killed. */
   get journalsIncomplete(): boolean {
     return this.keptJournals.length > 0 || this.targets.some(({ process }) => !process.running);
   }
 
-  /** Kills a back end and starts it again; what it did after the read of its journal is lost. */
+  /** Kills a back end and starts it again. Entries after the last read of its journal are lost. */
   async replaceTarget(id: string): Promise<void> {
     const target = this.findTarget(id);
     this.keptJournals.push(await this.readJournal(target));
@@ -204,7 +201,7 @@
     await target.process.firstLine(START_TIMEOUT_MS);
   }
 
-  /** Checks what the callers got against the back ends' journals. */
+  /** Checks the callers' records against the back ends' journals. */
   async check(results: readonly CallersResult[]): Promise<GuaranteeReport> {
     const records = results.flatMap((result) => result.records);
     const journals = await this.readJournals();
@@ -212,7 +209,7 @@
     return checkGuarantees({ rules: this.plan.rules, records, journals, journalsIncomplete });
   }
 
-  /** Starts a stopped node again, a new process with the same settings, without waiting. */
+  /** Starts a stopped node again as a new process with the same settings, without waiting. */
   respawnNode(id: string): RunningNode {
     const node = this.findNode(id);
     node.process = this.spawnNode(node.plan);
@@ -225,23 +222,23 @@
     await poll(`${id} ready`, START_TIMEOUT_MS, () => node.admin.isReady());
   }
 
-  /** Planned stop of a node. */
+  /** Stops a node as planned. */
   async stopNode(id: string): Promise<ProcessEnd> {
     return await this.findNode(id).process.stop('SIGTERM', STOP_TIMEOUT_MS);
   }
 
-  /** Standard error of every process that has written some, for a failed run. */
+  /** Standard error of all processes, to be printed after a failed run. */
   logs(): string {
     return this.started
       .filter(({ stderr }) => stderr !== '')
-      .map(({ name, stderr }) => `--- ${name}\n${stderr.slice(-KEPT_LOG)}`)
+      .map(({ name, stderr }) => `--- ${name}\n${stderr.slice(-MAX_LOG_CHARACTERS)}`)
       .join('\n');
   }
 
   /**
-   * Ends every process, nodes first.
+   * Stops every process, nodes first.
    *
-   * @param signal SIGTERM makes the nodes stop as planned, which takes some seconds
+   * @param signal SIGTERM makes the nodes stop as planned, which takes a few seconds
    */
   async stop(signal: NodeJS.Signals = 'SIGKILL'): Promise<void> {
     const isNode = (process: ManagedProcess): boolean =>
@@ -298,9 +295,9 @@
 
   private spawnTarget(target: PlannedTarget): ManagedProcess {
     const index = this.plan.targets.indexOf(target);
-    const order = (node: RunningNode): number =>
+    const zoneOrder = (node: RunningNode): number =>
       node.plan.settings.node.zone === target.zone ? 0 : 1;
-    const nodes = [...this.nodes].sort((a, b) => order(a) - order(b));
+    const nodes = [...this.nodes].sort((a, b) => zoneOrder(a) - zoneOrder(b));
     return this.spawn(target.id, [
       ...['emulate', 'backend', '--listen', target.address],
       ...['--service', target.service, '--target', target.id],
@@ -318,7 +315,7 @@
 
   private expectRunning(process: ManagedProcess): void {
     if (process.running) return;
-    throw new FatalError(`${process.name} ended: ${process.stderr.slice(-4_000)}`);
+    throw new FatalError(`${process.name} exited: ${process.stderr.slice(-4_000)}`);
   }
 }
 
@@ -328,11 +325,11 @@
 ): Promise<CallersResult> {
   const timer = setTimeout(() => {
     process.signal('SIGKILL');
-  }, durationMs + CALLERS_GRACE_MS);
-  const end = await process.ended;
+  }, durationMs + CALLERS_EXIT_TIMEOUT_MS);
+  const exit = await process.ended;
   clearTimeout(timer);
   const line = process.stdout.trimEnd().split('\n').at(-1) ?? '';
-  if (end.code !== 0) throw new Error(`callers ended with ${end.code}: ${process.stderr}`);
+  if (exit.code !== 0) throw new Error(`callers exited with code ${exit.code}: ${process.stderr}`);
   return JSON.parse(line) as CallersResult;
 }
 
--- a/src/trials/examples.test.ts
+++ b/src/trials/examples.test.ts
@@ -15,7 +15,7 @@
   return { rules: rules.value, workload: workload.value };
 }
 
-/** Services on the longest path of calls below a request, the first included. */
+/** Number of services on the longest chain of calls of a request, the first included. */
 function depth(workload: Workload, service: string, method: string, path: string): number {
   const backend = workload.backends.find((candidate) => candidate.service === service);
   const below = (backend?.calls ?? [])
@@ -35,7 +35,7 @@
     }
   });
 
-  test(`${example}: streams and calls belong to services and kinds of the rules`, () => {
+  test(`${example}: streams and calls match services and kinds of the rules`, () => {
     const { rules, workload } = read(example);
     const requests = [workload.probe, ...workload.streams].map(({ kind, ...rest }) => ({
       ...rest,
@@ -56,7 +56,7 @@
     }
   });
 
-  test(`${example}: one kind runs three services deep and attempts cover each chain`, () => {
+  test(`${example}: the deepest chain has three services, and attempts cover each chain`, () => {
     const { rules, workload } = read(example);
     const depths = workload.streams.map(({ kind, service, method, path }) => {
       const chain = depth(workload, service, method, path);
--- a/src/trials/failures.process.test.ts
+++ b/src/trials/failures.process.test.ts
@@ -8,11 +8,11 @@
   withDeployment,
 } from '../../test/support/process-test-deployment.js';
 
-/** Longer than the time limits of the links and of the failure detection. */
+/** Longer than the timeouts of links and of failure detection. */
 const PAUSE_MS = 4_000;
-/** Load that goes on after the restart of a node, however long the restart itself took. */
+/** Load after the restart of a node, however long the restart took. */
 const LOAD_AFTER_RESTART_MS = 5_000;
-/** Bound on the load of one run; it is ended as soon as enough was sent. */
+/** Longest load of a run; the test stops it as soon as enough was sent. */
 const MAX_LOAD_MS = 90_000;
 
 test('a killed node doubles nothing and gives no wrong answer', async () => {
@@ -35,11 +35,11 @@
     const result = await callers.result;
     assertGuarantees(await deployment.check([result]));
     for (const { kind } of result.kinds) {
-      const later = result.records.filter(
+      const afterRestart = result.records.filter(
         (record) => record.kind === kind && record.sentAt > restartedAt + 1_000,
       );
-      const complete = later.filter(({ verdict }) => verdict === 'complete');
-      assert.ok(complete.length > 0, `${kind} is served again`);
+      const complete = afterRestart.filter(({ verdict }) => verdict === 'complete');
+      assert.ok(complete.length > 0, `${kind} is not served after the restart`);
     }
   });
 });
@@ -85,6 +85,6 @@
     const report = await deployment.check([result]);
     assertGuarantees(report);
     const { attempts: bound } = deployment.plan.rules.services[0]!.kinds[0]!;
-    assert.equal(report.maxAttempts, bound, 'the retries reach the bound');
+    assert.equal(report.maxAttempts, bound, 'retries do not reach the bound');
   });
 });
--- a/src/trials/fault-run.process.test.ts
+++ b/src/trials/fault-run.process.test.ts
@@ -1,6 +1,6 @@
 /**
- * Random schedules of faults over real processes, of a fixed short list of seeds. Only what must
- * always hold is judged; `sillshore experiment faults` takes any seed.
+ * Runs random schedules of faults on real processes, for a short fixed list of seeds. Asserts the
+ * guarantees alone, which hold under any schedule; `sillshore experiment faults` takes any seed.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -12,7 +12,7 @@
 } from '../../test/support/process-test-deployment.js';
 
 const TIMEOUT_MS = 120_000;
-/** The second loses two of three claim replicas at once. */
+/** With seed 4, two of three claim replicas are lost at once. */
 const SEEDS = [1, 4];
 
 for (const seed of SEEDS) {
@@ -20,7 +20,9 @@
     await withDeployment(async (deployment) => {
       const options = { seed, faults: 8, durationMs: 6_000, rateFactor: RATE_FACTOR };
       const { report, log, calmSent, calmComplete } = await runFaults(deployment, options);
-      context.diagnostic(`${calmComplete} of ${calmSent} complete afterwards; ${log.join('; ')}`);
+      context.diagnostic(
+        `${calmComplete} of ${calmSent} complete after the faults; ${log.join('; ')}`,
+      );
       assert.ok(report.complete > 0);
       assertGuarantees(report);
     });
--- a/src/trials/fault-run.ts
+++ b/src/trials/fault-run.ts
@@ -1,38 +1,36 @@
-/** Runs a schedule of faults against a deployment under load and checks the guarantees. */
+/** Runs a schedule of faults on a deployment under load and checks the guarantees. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Deployment } from './deployment.js';
 import { createFaultSchedule, type ScheduledFault } from './fault-schedule.js';
 import type { GuaranteeReport } from './guarantees.js';
 
-/** Options of a run. */
 export interface FaultRunOptions {
   readonly seed: number;
   readonly faults: number;
-  /** Faults begin within this time. */
+  /** Faults begin within this time after the start of the load. */
   readonly durationMs: number;
   readonly rateFactor: number;
 }
 
-/** What a run gave. */
 export interface FaultRunResult {
   readonly seed: number;
   readonly report: GuaranteeReport;
-  /** Complete requests of the calm load after the last fault, of those sent. */
+  /** Complete requests of the load without faults that follows the last fault. */
   readonly calmComplete: number;
   readonly calmSent: number;
-  /** Kinds that were not all complete in the calm load, with their result codes. */
+  /** Kinds with incomplete requests in the calm load, with their result codes. */
   readonly calmCodes: readonly string[];
-  /** One line a fault, in the order in which they began. */
+  /** One line for each fault, in the order in which they began. */
   readonly log: readonly string[];
 }
 
-const CALM_MS = 3_000;
-/** Nodes and back ends get this long to find each other again before the calm load. */
+const CALM_LOAD_MS = 3_000;
+/** Time for nodes and back ends to reconnect before the calm load. */
 const SETTLE_MS = 3_000;
-/** Load goes on after the last fault has begun. */
-const TAIL_MS = 2_000;
+/** The load lasts this much longer than the time in which faults begin. */
+const LOAD_AFTER_LAST_FAULT_MS = 2_000;
 
-/** Runs the schedule of a seed; the deployment is not stopped. */
+/** Runs the schedule of a seed. Leaves the deployment running. */
 export async function runFaults(
   deployment: Deployment,
   options: FaultRunOptions,
@@ -40,7 +38,7 @@
   const { seed, faults, durationMs, rateFactor } = options;
   const schedule = createFaultSchedule(seed, faults, durationMs);
   const callers = await deployment.startCallers({
-    durationMs: durationMs + TAIL_MS,
+    durationMs: durationMs + LOAD_AFTER_LAST_FAULT_MS,
     rateFactor,
     seed,
     tries: 5,
@@ -52,7 +50,11 @@
   const result = await callers.result;
   await deployment.waitInForce();
   await delay(SETTLE_MS);
-  const calm = await deployment.startCallers({ durationMs: CALM_MS, rateFactor, seed: seed + 1 });
+  const calm = await deployment.startCallers({
+    durationMs: CALM_LOAD_MS,
+    rateFactor,
+    seed: seed + 1,
+  });
   const calmResult = await calm.result;
   const sum = (member: 'sent' | 'complete'): number =>
     calmResult.kinds.reduce((total, kind) => total + kind[member], 0);
@@ -68,30 +70,30 @@
   };
 }
 
-/** Begins and ends faults; a place that has one already is left alone. */
+/** Begins and ends faults; skips a fault when its node, back end or platform already has one. */
 class FaultRunner {
   readonly log: string[] = [];
-  private readonly busy = new Set<string>();
+  private readonly faulty = new Set<string>();
 
   constructor(private readonly deployment: Deployment) {}
 
   async run(fault: ScheduledFault): Promise<void> {
     await delay(fault.atMs);
-    const id = this.locate(fault);
+    const id = this.resolveSubject(fault);
     const line = `${fault.atMs} ms: ${id}: ${fault.kind.name} for ${fault.lastsMs} ms`;
-    if (this.busy.has(id)) {
-      this.log.push(`${line} (left out: has a fault already)`);
+    if (this.faulty.has(id)) {
+      this.log.push(`${line} (skipped: has a fault already)`);
       return;
     }
-    this.busy.add(id);
+    this.faulty.add(id);
     this.log.push(line);
     const end = await this.begin(fault, id);
     await delay(fault.lastsMs);
     await end();
-    this.busy.delete(id);
+    this.faulty.delete(id);
   }
 
-  private locate({ kind, index }: ScheduledFault): string {
+  private resolveSubject({ kind, index }: ScheduledFault): string {
     const { nodes, targets } = this.deployment;
     switch (kind.place) {
       case 'node':
@@ -103,7 +105,7 @@
     }
   }
 
-  /** Begins a fault and returns what ends it. */
+  /** Begins a fault and returns a function that ends it. */
   private async begin({ kind }: ScheduledFault, id: string): Promise<() => Promise<void>> {
     const { deployment } = this;
     const { action } = kind;
--- a/src/trials/fault-schedule.test.ts
+++ b/src/trials/fault-schedule.test.ts
@@ -7,13 +7,13 @@
 const COUNT = 200;
 const DURATION_MS = 10_000;
 
-test('a seed gives the same schedule again, another seed another one', () => {
+test('the same seed gives the same schedule, another seed gives another one', () => {
   const first = createFaultSchedule(1, COUNT, DURATION_MS);
   assert.deepEqual(first, createFaultSchedule(1, COUNT, DURATION_MS));
   assert.notDeepEqual(first, createFaultSchedule(2, COUNT, DURATION_MS));
 });
 
-test('a long schedule holds every fault, in order and within the time', () => {
+test('a long schedule contains every fault, in order and within the time', () => {
   const schedule = createFaultSchedule(3, COUNT, DURATION_MS);
   const names = new Set(schedule.map(({ kind }) => kind.name));
   assert.deepEqual([...names].sort(), FAULT_KINDS.map(({ name }) => name).sort());
@@ -25,7 +25,7 @@
   assert.ok(times.every((time) => time >= 0 && time < DURATION_MS));
 });
 
-test('every fault is one that the stand-ins know', () => {
+test('the stand-ins accept every fault', () => {
   for (const { action } of FAULT_KINDS) {
     if (action.type === 'target-fault') {
       backendControlSchema.parse(action.on);
--- a/src/trials/fault-schedule.ts
+++ b/src/trials/fault-schedule.ts
@@ -1,4 +1,4 @@
-/** Seeded schedules of faults over the processes of a deployment. */
+/** Seeded schedules of faults for the processes of a deployment. */
 import type { BackendControl } from '../stand-ins/backend/backend-faults.js';
 import { hash32 } from '../core/hash.js';
 import { createRandom, type Random } from '../core/random.js';
@@ -6,7 +6,7 @@
 /** What a fault acts on. */
 export type FaultPlace = 'node' | 'target' | 'platform';
 
-/** One kind of fault. */
+/** How a fault is brought about. */
 export type FaultAction =
   /** SIGKILL, then a new process. */
   | { readonly type: 'kill-node' }
@@ -19,7 +19,6 @@
   /** Switches faults of the platform on, then off. */
   | { readonly type: 'platform-fault'; readonly on: object; readonly off: object };
 
-/** A fault of the table. */
 export interface FaultKind {
   readonly name: string;
   readonly place: FaultPlace;
@@ -34,20 +33,24 @@
   return { name, place: 'platform', action: { type: 'platform-fault', on, off } };
 }
 
-/** Every fault that a schedule draws from. */
+/** The faults that schedules draw from. */
 export const FAULT_KINDS: readonly FaultKind[] = [
   { name: 'node killed', place: 'node', action: { type: 'kill-node' } },
   { name: 'node paused', place: 'node', action: { type: 'pause-node' } },
   { name: 'node stopped as planned', place: 'node', action: { type: 'stop-node' } },
-  targetFault('answers die in the middle', { dieMidAnswer: true }, { dieMidAnswer: false }),
+  targetFault(
+    'connection closed in the middle of an answer',
+    { dieMidAnswer: true },
+    { dieMidAnswer: false },
+  ),
   targetFault('answers are truncated', { truncate: true }, { truncate: false }),
   targetFault('answers are late', { answerDelayMs: 1_000 }, { answerDelayMs: 0 }),
   targetFault('no answers', { pauseAnswers: true }, { pauseAnswers: false }),
   targetFault('service ten times slower', { slowFactor: 10 }, { slowFactor: 1 }),
   targetFault('sheds all load', { shed: true }, { shed: false }),
   targetFault('drains', { drain: true, refuseAfterMs: 500 }, { drain: false }),
-  targetFault('works on for nobody', { ignoreCancel: true }, { ignoreCancel: false }),
-  targetFault('repeats calls by itself', { ownRetries: 3 }, { ownRetries: 0 }),
+  targetFault('ignores cancellation', { ignoreCancel: true }, { ignoreCancel: false }),
+  targetFault('retries calls by itself', { ownRetries: 3 }, { ownRetries: 0 }),
   targetFault('drops the context field', { dropContext: true }, { dropContext: false }),
   platformFault('platform refuses', { outage: 'refuse' }, { outage: 'none' }),
   platformFault('platform hangs', { outage: 'hang' }, { outage: 'none' }),
@@ -57,18 +60,18 @@
 /** One fault of a schedule. */
 export interface ScheduledFault {
   readonly kind: FaultKind;
-  /** Position of the node or back end among those of the deployment, before the remainder. */
+  /** Selects the node or back end; taken modulo the number of them in the deployment. */
   readonly index: number;
   /** Milliseconds after the start of the load. */
   readonly atMs: number;
   readonly lastsMs: number;
 }
 
-const SHORTEST_MS = 300;
-const LONGEST_MS = 5_000;
+const MIN_FAULT_MS = 300;
+const MAX_FAULT_MS = 5_000;
 
 /**
- * Draws a schedule; the same seed gives the same one.
+ * Draws a schedule, which the seed determines.
  *
  * @param durationMs faults begin before this time
  */
@@ -83,13 +86,13 @@
 }
 
 function drawFault(random: Random, durationMs: number): ScheduledFault {
-  // Places weigh the same, so that the many faults of back ends do not crowd out the nodes'.
+  // Places have equal weight; else the many kinds of back-end faults would crowd out node faults.
   const place = (['node', 'target', 'platform'] as const)[random.nextInt(3)]!;
   const kinds = FAULT_KINDS.filter((kind) => kind.place === place);
   return {
     kind: kinds[random.nextInt(kinds.length)]!,
     index: random.nextInt(1_000),
     atMs: Math.floor(random.next() * durationMs),
-    lastsMs: SHORTEST_MS + Math.floor(random.next() * (LONGEST_MS - SHORTEST_MS)),
+    lastsMs: MIN_FAULT_MS + Math.floor(random.next() * (MAX_FAULT_MS - MIN_FAULT_MS)),
   };
 }
--- a/src/trials/faults.process.test.ts
+++ b/src/trials/faults.process.test.ts
@@ -1,6 +1,7 @@
 /**
- * The guarantees under failure: one deployment of separate processes, a table of fault cases, and
- * callers that repeat hard. The verdict is the journals', not the speed of the machine.
+ * The guarantees under faults: a table of fault cases on one deployment of separate processes, with
+ * callers that retry aggressively. Asserts what the journals show, so that the speed of the machine
+ * does not matter.
  */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
@@ -22,16 +23,16 @@
 } from '../../test/support/process-test-deployment.js';
 
 const TIMEOUT_MS = 120_000;
-/** Longer than the promises' deadline and than it takes peers to consider a node failed. */
+/** Longer than the deadline of promise requests, and than peers take to consider a node failed. */
 const PAUSE_MS = 8_000;
-/** Factor on deadlines: small, so that a pause outlasts them. */
-const STRETCH = 2;
-const SHORT_MS = 1_500;
+/** Factor on the example's deadlines: small, so that a pause outlasts them. */
+const DEADLINE_FACTOR = 2;
+const SHORT_DELAY_MS = 1_500;
 
 interface FaultCase {
   readonly name: string;
   readonly faults: FaultScript;
-  /** Whether the only ends of nodes are planned stops, which cut off nothing. */
+  /** Whether nodes exit only by planned stops, which cut no answer. */
   readonly cutsNothing?: boolean;
 }
 
@@ -40,16 +41,16 @@
     name: 'a node stands still past every timeout and continues',
     faults: async ({ nodes }) => {
       await pauseNode(nodes[1]!, PAUSE_MS);
-      await delay(SHORT_MS);
+      await delay(SHORT_DELAY_MS);
     },
   },
   {
     name: 'two nodes killed one after the other, with a restart in between',
     faults: async (deployment) => {
       const [first, second] = deployment.nodes;
-      await killNode(deployment, first!, SHORT_MS);
+      await killNode(deployment, first!, SHORT_DELAY_MS);
       await waitForVote(first!);
-      await killNode(deployment, second!, SHORT_MS);
+      await killNode(deployment, second!, SHORT_DELAY_MS);
       await waitForVote(second!);
     },
   },
@@ -69,7 +70,7 @@
       await Promise.all([
         breakPlatform(deployment, 'hang', PAUSE_MS),
         pauseNode(second!, PAUSE_MS / 2),
-        killNode(deployment, first!, SHORT_MS),
+        killNode(deployment, first!, SHORT_DELAY_MS),
       ]);
     },
   },
@@ -87,10 +88,10 @@
     faults: async (deployment) => {
       const node = deployment.nodes[0]!;
       await deployment.controlPlatform({ outage: 'hang' });
-      await delay(SHORT_MS);
+      await delay(SHORT_DELAY_MS);
       await stopNode(deployment, node);
       await startAgain(deployment, node);
-      await delay(SHORT_MS);
+      await delay(SHORT_DELAY_MS);
     },
   },
   {
@@ -106,14 +107,14 @@
   {
     name: 'back ends die in the middle of answers, and one is killed',
     faults: async (deployment) => {
-      const dying = { dieMidAnswer: true };
+      const closingMidAnswer = { dieMidAnswer: true };
       await Promise.all([
-        disturbTarget(deployment, 'promise-ledger-1', dying, 3_000),
+        disturbTarget(deployment, 'promise-ledger-1', closingMidAnswer, 3_000),
         disturbTarget(deployment, 'promise-ledger-2', { truncate: true }, 3_000),
-        disturbTarget(deployment, 'script-guide-1', dying, 3_000),
+        disturbTarget(deployment, 'script-guide-1', closingMidAnswer, 3_000),
       ]);
       await deployment.replaceTarget('promise-ledger-3');
-      await delay(SHORT_MS);
+      await delay(SHORT_DELAY_MS);
     },
   },
 ];
@@ -122,7 +123,7 @@
 
 before(
   async () => {
-    deployment = await startTestDeployment(STRETCH);
+    deployment = await startTestDeployment(DEADLINE_FACTOR);
   },
   { timeout: TIMEOUT_MS },
 );
--- a/src/trials/free-ports.test.ts
+++ b/src/trials/free-ports.test.ts
@@ -4,7 +4,7 @@
 
 const COUNT = 40;
 
-test('ports reserved side by side are different, and can be had again after the release', async () => {
+test('concurrent reservations get different ports', async () => {
   const all = await Promise.all([1, 2, 3, 4].map(() => reservePorts(COUNT)));
   try {
     const ports = all.flatMap((reserved) => reserved.ports);
--- a/src/trials/free-ports.ts
+++ b/src/trials/free-ports.ts
@@ -2,46 +2,47 @@
 import { createSocket } from 'node:dgram';
 import { createServer, type Server } from 'node:net';
 
-/** Below the range from which the system takes ports for outgoing connections. */
+/** Below the range that the system uses for outgoing connections. */
 const LOWEST_PORT = 20_000;
 const HIGHEST_PORT = 32_000;
 const BLOCK_SIZE = 200;
-/** Ports that a process takes at once for itself. */
-const OWN_PORTS = 100;
-const BLOCKS = (HIGHEST_PORT - LOWEST_PORT) / BLOCK_SIZE;
+/** {@link findFreePorts} reserves at least this many ports at a time. */
+const MIN_RESERVATION = 100;
+const BLOCK_COUNT = (HIGHEST_PORT - LOWEST_PORT) / BLOCK_SIZE;
 
-/** Ports that no other deployment on this machine is given until they are released. */
+/** Ports that no other deployment on this machine gets until they are released. */
 export interface ReservedPorts {
   readonly ports: readonly number[];
   release(): void;
 }
 
 /**
- * Reserves ports that are free for TCP and UDP on 127.0.0.1. The first port of a block is held
- * open as a lock, so that deployments started side by side never get the same block.
+ * Reserves ports that are free for TCP and UDP on 127.0.0.1. Listens on the first port of a block
+ * as a lock, so that deployments started concurrently never get the same block.
  *
  * @param count at most 199
  */
 export async function reservePorts(count: number): Promise<ReservedPorts> {
-  const first = Math.floor(Math.random() * BLOCKS);
-  for (let offset = 0; offset < BLOCKS; offset += 1) {
-    const base = LOWEST_PORT + ((first + offset) % BLOCKS) * BLOCK_SIZE;
+  const first = Math.floor(Math.random() * BLOCK_COUNT);
+  for (let offset = 0; offset < BLOCK_COUNT; offset += 1) {
+    const base = LOWEST_PORT + ((first + offset) % BLOCK_COUNT) * BLOCK_SIZE;
     const lock = await tryListen(base);
     if (lock === undefined) continue;
-    const ports = await findFree(base, count);
+    const ports = await findFreeInBlock(base, count);
     if (ports.length === count) return { ports, release: () => lock.close() };
     lock.close();
   }
-  throw new Error(`no block of ${count} free ports`);
+  throw new Error(`no block has ${count} free ports`);
 }
 
-/** Ports of this process's own block that have not been given out. */
-let own: number[] = [];
+/** Reserved ports of this process that {@link findFreePorts} has not returned yet. */
+let unusedPorts: number[] = [];
 
-/** Takes ports from a block that belongs to this process until it ends; see {@link reservePorts}. */
+/** Returns ports that stay reserved for this process until it exits; see {@link reservePorts}. */
 export async function findFreePorts(count: number): Promise<number[]> {
-  if (own.length < count) own = [...(await reservePorts(Math.max(count, OWN_PORTS))).ports];
-  return own.splice(0, count);
+  if (unusedPorts.length < count)
+    unusedPorts = [...(await reservePorts(Math.max(count, MIN_RESERVATION))).ports];
+  return unusedPorts.splice(0, count);
 }
 
 /** {@link findFreePorts} for a single port. */
@@ -50,7 +51,7 @@
   return port!;
 }
 
-async function findFree(base: number, count: number): Promise<number[]> {
+async function findFreeInBlock(base: number, count: number): Promise<number[]> {
   const found: number[] = [];
   for (let port = base + 1; port < base + BLOCK_SIZE && found.length < count; port += 1) {
     if ((await isTcpFree(port)) && (await isUdpFree(port))) found.push(port);
--- a/src/trials/guarantees.test.ts
+++ b/src/trials/guarantees.test.ts
@@ -8,7 +8,7 @@
   type CallVerdict,
   type TryRecord,
 } from '../stand-ins/callers/caller-journal.js';
-import { checkGuarantees, holds } from './guarantees.js';
+import { checkGuarantees, hasNoViolations } from './guarantees.js';
 
 const rules = parseRules(readFileSync('examples/recife/rules.yaml', 'utf8')).unwrapOrElse(() =>
   assert.fail('rules'),
@@ -55,7 +55,7 @@
   readonly expected: Partial<ReturnType<typeof checkGuarantees>>;
 }[] = [
   {
-    name: 'one effect and its answer',
+    name: 'one effect and a complete answer',
     kind: 'promise-entry',
     verdicts: ['complete'],
     journals: [journal('promise-ledger', 'a', ran)],
@@ -76,21 +76,21 @@
     expected: { doubled: 0, maxAttempts: 2, violations: [] },
   },
   {
-    name: 'told not-run but begun',
+    name: 'refused as not run, but begun',
     kind: 'promise-entry',
     verdicts: ['refused', 'refused'],
     journals: [journal('promise-ledger', 'a', { begunAt: [1], cancelled: 1 })],
     expected: { notRunButRan: 1 },
   },
   {
-    name: 'told not-run and only refused',
+    name: 'refused as not run, and only refused',
     kind: 'promise-entry',
     verdicts: ['refused'],
     journals: [journal('promise-ledger', 'a', { refused: 1 })],
     expected: { notRunButRan: 0, violations: [] },
   },
   {
-    name: 'an unknown try followed by a refusal',
+    name: 'an attempt of unknown outcome followed by a refusal',
     kind: 'promise-entry',
     verdicts: ['unknown', 'refused'],
     journals: [journal('promise-ledger', 'a', ran)],
@@ -129,13 +129,13 @@
     for (const [member, value] of Object.entries(expected)) {
       assert.deepEqual(report[member as keyof typeof report], value, member);
     }
-    assert.equal(holds(report), report.violations.length === 0);
+    assert.equal(hasNoViolations(report), report.violations.length === 0);
     const broken =
       report.doubled +
       report.wrongAnswer +
       report.notRunButRan +
       report.aboveBound +
       report.completeWithoutEffect;
-    assert.equal(holds(report), broken === 0);
+    assert.equal(hasNoViolations(report), broken === 0);
   });
 }
--- a/src/trials/guarantees.ts
+++ b/src/trials/guarantees.ts
@@ -1,71 +1,68 @@
-/** Checks the journals of both ends of a run against what must always hold. */
+/** Checks the guarantees against the journals of callers and back ends. */
 import type { KindRules, Rules, ServiceRules } from '../config/rules.js';
 import type { BackendJournal, JournalEntry } from '../stand-ins/backend/effects-journal.js';
 import type { RequestRecord } from '../stand-ins/callers/caller-journal.js';
 
-/** Figures of one kind over both journals. */
+/** Counts of one kind of request over both journals. */
 export interface KindFigures {
   readonly kind: string;
   readonly requests: number;
-  /** Attempts at back ends on the whole chain, over the requests. */
+  /** Attempts at back ends on the whole chain, summed over the requests. */
   readonly attempts: number;
   readonly maxAttempts: number;
 }
 
-/** What the journals say. */
 export interface GuaranteeReport {
   readonly sent: number;
   readonly complete: number;
   /** Non-idempotent requests that took effect more than once at a service. */
   readonly doubled: number;
-  /** Answers to another request, or damaged ones, at the callers or between services. */
+  /** Answers that belong to another request or are damaged, at callers or between services. */
   readonly wrongAnswer: number;
-  /** Requests told `not-run` in every try that a back end had begun. */
+  /** Requests whose attempts were all refused as not run although a back end had begun one. */
   readonly notRunButRan: number;
   /** Complete answers without an effect in any journal. */
   readonly completeWithoutEffect: number;
   readonly maxAttempts: number;
   /** Requests with more attempts on the whole chain than their kind allows. */
   readonly aboveBound: number;
-  /** Tries whose connection ended before the answer was complete. */
+  /** Attempts whose connection closed before the answer was complete. */
   readonly cut: number;
   readonly kinds: readonly KindFigures[];
-  /** One line for each of the first violations. */
+  /** One line for each of the first violations; empty when all guarantees hold. */
   readonly violations: readonly string[];
 }
 
-/** What is checked. */
 export interface GuaranteeInput {
   readonly rules: Rules;
   readonly records: readonly RequestRecord[];
   readonly journals: readonly BackendJournal[];
-  /** Whether a back end was killed and its journal lost; effects may then be missing. */
+  /** Whether a back end was killed and its journal lost, so that effects may be missing. */
   readonly journalsIncomplete?: boolean;
 }
 
-const LISTED_VIOLATIONS = 20;
+const MAX_LISTED_VIOLATIONS = 20;
 
-/** Entry of a back end with the rules that it belongs to. */
+/** Journal entry of a back end with the rules of its service and kind. */
 interface LocatedEntry {
   readonly service: ServiceRules;
   readonly kind: KindRules | undefined;
   readonly entry: JournalEntry;
 }
 
-/** Whether nothing was broken. */
-export function holds(report: GuaranteeReport): boolean {
+export function hasNoViolations(report: GuaranteeReport): boolean {
   return report.violations.length === 0;
 }
 
-/** Checks both journals. */
+/** Compares the callers' records with the back ends' journals. */
 export function checkGuarantees(input: GuaranteeInput): GuaranteeReport {
   const { rules, records, journals } = input;
   const byRequest = indexEntries(rules, journals);
   const violations: string[] = [];
   const kinds = new Map<string, { requests: number; attempts: number; maxAttempts: number }>();
   const totals = { doubled: 0, wrong: 0, notRunButRan: 0, withoutEffect: 0, aboveBound: 0 };
-  const note = (record: RequestRecord, what: string): void => {
-    violations.push(`${record.kind} ${record.request}: ${what}`);
+  const addViolation = (record: RequestRecord, violation: string): void => {
+    violations.push(`${record.kind} ${record.request}: ${violation}`);
   };
 
   for (const record of records) {
@@ -80,32 +77,35 @@
     const bound = findBound(rules, record.kind);
     if (attempts > bound) {
       totals.aboveBound += 1;
-      note(record, `${attempts} attempts, ${bound} allowed`);
+      addViolation(record, `${attempts} attempts, ${bound} allowed`);
     }
     if (record.verdict === 'wrong') {
       totals.wrong += 1;
-      note(record, 'an answer that is not its own');
+      addViolation(record, 'got an answer that belongs to another request or is damaged');
     }
     const begun = sum(entries.map(({ entry }) => entry.begunAt.length));
     if (record.toldNotRun && begun > 0) {
       totals.notRunButRan += 1;
-      note(record, `told not-run, begun ${begun} times`);
+      addViolation(record, `reported as not run, but begun ${begun} times`);
     }
     const effects = sum(entries.map(({ entry }) => entry.effectAt.length));
     if (record.verdict === 'complete' && effects === 0 && input.journalsIncomplete !== true) {
       totals.withoutEffect += 1;
-      note(record, 'complete, but no back end knows it');
+      addViolation(record, 'complete, but no journal contains an effect');
     }
   }
   for (const [request, entries] of byRequest) {
-    for (const [place, count] of countEffects(entries)) {
+    for (const [serviceAndKind, count] of countEffects(entries)) {
       if (count < 2) continue;
       totals.doubled += 1;
-      violations.push(`${request}: ${count} effects at ${place}`);
+      violations.push(`${request}: ${count} effects at ${serviceAndKind}`);
     }
   }
   const wrongBelow = sum(journals.map(({ counters }) => counters.wrongAnswersBelow));
-  if (wrongBelow > 0) violations.push(`${wrongBelow} answers between services were not their own`);
+  if (wrongBelow > 0)
+    violations.push(
+      `${wrongBelow} answers between services belonged to another request or were damaged`,
+    );
 
   return {
     sent: records.length,
@@ -118,7 +118,7 @@
     aboveBound: totals.aboveBound,
     cut: sum(records.map(({ tries }) => tries.filter(({ ended }) => ended === 'cut').length)),
     kinds: [...kinds].map(([kind, figures]) => ({ kind, ...figures })),
-    violations: violations.slice(0, LISTED_VIOLATIONS),
+    violations: violations.slice(0, MAX_LISTED_VIOLATIONS),
   };
 }
 
@@ -152,13 +152,13 @@
   return kinds.find(({ name }) => name === kindName)?.attempts ?? 0;
 }
 
-/** Effects of a request's non-idempotent calls by service and kind, over all targets. */
+/** Counts effects of a request's non-idempotent calls by service and kind, over all targets. */
 function countEffects(entries: readonly LocatedEntry[]): Map<string, number> {
   const counts = new Map<string, number>();
   for (const { service, kind, entry } of entries) {
     if (kind === undefined || kind.idempotent) continue;
-    const place = `${service.name} ${kind.name}`;
-    counts.set(place, (counts.get(place) ?? 0) + entry.effectAt.length);
+    const serviceAndKind = `${service.name} ${kind.name}`;
+    counts.set(serviceAndKind, (counts.get(serviceAndKind) ?? 0) + entry.effectAt.length);
   }
   return counts;
 }
--- a/src/trials/http-json.ts
+++ b/src/trials/http-json.ts
@@ -1,6 +1,6 @@
-/** Small JSON requests to control endpoints and to the operators' interface. */
+/** JSON requests to control endpoints and to the operators' interface. */
 
-/** Sends JSON (POST) or reads it (no body); rejects on any other status than 200. */
+/** Sends `body` as JSON by POST, or a GET without a body. Rejects on any status but 200. */
 export async function requestJson<T>(
   url: string,
   body?: unknown,
@@ -21,16 +21,16 @@
 const REQUEST_TIMEOUT_MS = 5_000;
 const POLL_INTERVAL_MS = 50;
 
-/** An error that no repeat can mend; {@link poll} passes it on at once. */
+/** An error that a retry cannot fix; {@link poll} rethrows it at once. */
 export class FatalError extends Error {}
 
-/** Repeats `check` until it gives true; rejects with the last reason after `timeoutMs`. */
+/** Retries `check` until it returns true; rejects with its last error after `timeoutMs`. */
 export async function poll(
   what: string,
   timeoutMs: number,
   check: () => Promise<boolean>,
 ): Promise<void> {
-  const giveUpAt = performance.now() + timeoutMs;
+  const deadline = performance.now() + timeoutMs;
   let reason = 'condition not met';
   for (;;) {
     try {
@@ -39,7 +39,7 @@
       if (error instanceof FatalError) throw error;
       reason = String(error);
     }
-    if (performance.now() > giveUpAt) throw new Error(`${what}: ${reason}`);
+    if (performance.now() > deadline) throw new Error(`${what}: ${reason}`);
     await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
--- a/src/trials/latency-benchmark.ts
+++ b/src/trials/latency-benchmark.ts
@@ -1,9 +1,9 @@
 /**
- * The latency benchmark: direct, one hop (entry and target side in one node) and two hops
- * (entry node, then the node that fronts the target), interleaved in one run over separate
- * processes. Each path has its own nodes and its own back end, so that the rate is that of
- * each node: the first node serves one hop, the second is the entry and the third the target
- * side of two hops.
+ * The latency benchmark. Compares three paths, interleaved in one run over separate processes:
+ * direct, one hop (one node is the entry and fronts the target) and two hops (entry node, then the
+ * node that fronts the target). Each path has its own nodes and its own back end, so each node
+ * serves the configured rate: the first node serves one hop, the second is the entry and the third
+ * the fronting node of two hops.
  */
 import { Deployment } from './deployment.js';
 import type { Rules } from '../config/rules.js';
@@ -18,18 +18,17 @@
 } from './latency-paths.js';
 import { formatTable } from '../cli/table.js';
 
-/** Options of the benchmark. */
 export interface LatencyBenchmarkOptions {
-  /** Calls a second at each node: one run for each. */
+  /** Calls per second at each node; one run for each rate. */
   readonly rates: readonly number[];
-  /** Milliseconds that are counted in each run. */
+  /** Measured time of each run, without the warm-up. */
   readonly durationMs: number;
   readonly seed: number;
   /** Whether requests carry an Idempotency-Key, which is charged at the claim replicas. */
   readonly requestId: boolean;
 }
 
-/** One row of the result, in milliseconds. */
+/** Result of one path. Times are in milliseconds. */
 export interface LatencyRow {
   readonly path: string;
   readonly count: number;
@@ -38,12 +37,11 @@
   readonly p99: number;
   readonly addedP50: number;
   readonly addedP99: number;
-  /** Back end's own time. */
+  /** Time spent in the back end, as it reports it. */
   readonly backendP50: number;
   readonly backendP99: number;
 }
 
-/** Result at one rate. */
 export interface LatencyRun {
   readonly ratePerNode: number;
   readonly rows: readonly LatencyRow[];
@@ -60,14 +58,14 @@
 export async function runLatencyBenchmark(
   options: LatencyBenchmarkOptions,
 ): Promise<readonly LatencyRun[]> {
-  let planned = 0;
+  let plannedNodes = 0;
   const deployment = await Deployment.start({
     example: EXAMPLE,
     changeRules: createRules,
-    changeWorkload: useConstantTime,
+    changeWorkload: useConstantServiceTime,
     changeSettings: (settings) => {
-      planned += 1;
-      return frontOneTarget(settings, planned);
+      plannedNodes += 1;
+      return frontOneTarget(settings, plannedNodes);
     },
   });
   try {
@@ -99,7 +97,7 @@
   ];
 }
 
-/** Two services with one target each: one for the path over one hop, one for two. */
+/** Creates two services with one target each: one for the path of one hop, one for two hops. */
 function createRules(rules: Rules): Rules {
   const [service] = rules.services;
   const base = {
@@ -109,9 +107,9 @@
     calls: [],
     kinds: service!.kinds.filter(({ name }) => name === 'latency-probe'),
   };
-  const [near, , far] = service!.targets;
-  const remote = { ...base, name: REMOTE_SERVICE, hosts: [REMOTE_HOST], targets: [far!] };
-  return { ...rules, services: [{ ...base, targets: [near!] }, remote] };
+  const [oneHopTarget, , twoHopTarget] = service!.targets;
+  const remote = { ...base, name: REMOTE_SERVICE, hosts: [REMOTE_HOST], targets: [twoHopTarget!] };
+  return { ...rules, services: [{ ...base, targets: [oneHopTarget!] }, remote] };
 }
 
 /** The first node fronts the first target, the third node the other one. */
@@ -120,7 +118,7 @@
   return { ...settings, node: { ...settings.node, fronts } };
 }
 
-function useConstantTime(workload: Workload): Workload {
+function useConstantServiceTime(workload: Workload): Workload {
   const [first] = workload.backends;
   const constant = { ...first!, serviceMs: SERVICE_MS, sigma: 0, work: [], calls: [] };
   return { ...workload, backends: [constant, { ...constant, service: REMOTE_SERVICE }] };
@@ -141,7 +139,7 @@
   };
 }
 
-/** Lays a run out as text. */
+/** Formats a run as a table. */
 export function formatLatencyRun({ ratePerNode, rows }: LatencyRun): string {
   const heading = ['path', 'counted', 'failed', 'p50 ms', 'p99 ms', 'added p50', 'added p99'];
   const table = formatTable(
--- a/src/trials/latency-paths.ts
+++ b/src/trials/latency-paths.ts
@@ -1,9 +1,9 @@
 /**
- * Latency over several paths to the same kind of work, interleaved in one run.
+ * Measures the latency of the same kind of request over several paths, interleaved in one run.
  *
- * "Added" is the difference of quantiles: the quantile of the latencies through a path less the
- * same quantile of the direct ones. It is not a quantile of differences, since no request goes
- * both ways.
+ * Added latency is a difference of quantiles: a quantile of the latencies over a path, minus the
+ * same quantile over the direct path. It is not a quantile of differences, since each request
+ * takes one path only.
  */
 import { hash32 } from '../core/hash.js';
 import { createRandom } from '../core/random.js';
@@ -15,40 +15,36 @@
 import { DurationHistogram, type Quantiles } from '../stand-ins/callers/summary.js';
 import type { Stream } from '../stand-ins/workload.js';
 
-/** One way to the work. */
 export interface LatencyPath {
   readonly name: string;
-  /** Base URLs, used in turn at random. */
+  /** Base URLs; each request chooses one at random. */
   readonly entries: readonly string[];
-  /** Replaces members of the stream for this path. */
+  /** Overrides members of the stream for this path. */
   readonly stream?: Partial<Stream>;
 }
 
-/** What one path gave. */
 export interface PathLatency {
   readonly name: string;
-  /** Requests that did not get their complete answer. */
+  /** Requests without a complete answer. */
   readonly failed: number;
   /** Milliseconds from sending to the complete answer. */
   readonly latency: Quantiles;
-  /** Milliseconds that the back end spent, by its own account. */
+  /** Milliseconds spent in the back end, as it reports them. */
   readonly backend: Quantiles;
 }
 
-/** Result of a run over all paths. */
 export interface PathLatencies {
   readonly paths: readonly PathLatency[];
   readonly records: readonly RequestRecord[];
 }
 
-/** Options of a run. */
 export interface LatencyRunOptions {
   readonly stream: Stream;
   readonly paths: readonly LatencyPath[];
-  /** Requests a second on each path. */
+  /** Requests per second on each path. */
   readonly ratePerPath: number;
   readonly durationMs: number;
-  /** Milliseconds at the start that are sent but not counted. */
+  /** Time at the start in which requests are sent but not counted. */
   readonly warmUpMs: number;
   readonly seed: number;
 }
@@ -62,7 +58,7 @@
   failed: number;
 }
 
-/** Sends requests over all paths in turn at Poisson times. */
+/** Sends requests over the paths in turn, with Poisson arrivals. */
 export async function measurePaths(options: LatencyRunOptions): Promise<PathLatencies> {
   const agent = createAgent();
   const random = createRandom(hash32(`paths ${options.seed}`));
@@ -74,14 +70,14 @@
     backend: new DurationHistogram(),
     failed: 0,
   }));
-  const countFrom = performance.now() + options.warmUpMs;
+  const countedFrom = performance.now() + options.warmUpMs;
   const records: RequestRecord[] = [];
   const running: Promise<void>[] = [];
   const send = async (state: PathState): Promise<void> => {
     const sentAt = performance.now();
     const record = await makeRequest(state.context, state.stream, sentAt);
     records.push(record);
-    if (sentAt >= countFrom) count(state, record);
+    if (sentAt >= countedFrom) count(state, record);
   };
   let sent = 0;
   const rate = options.ratePerPath * states.length;
@@ -114,13 +110,13 @@
   };
 }
 
-/** Difference of quantiles in milliseconds between a path and the direct one. */
+/** Added latency in milliseconds. */
 export interface AddedLatency {
   readonly p50: number;
   readonly p99: number;
 }
 
-/** What a path adds to the direct one. */
+/** Computes the latency that a path adds to the direct one. */
 export function addedLatency(direct: PathLatency, path: PathLatency): AddedLatency {
   return {
     p50: roundMs(path.latency.p50 - direct.latency.p50),
--- a/src/trials/managed-process.ts
+++ b/src/trials/managed-process.ts
@@ -1,28 +1,29 @@
-/** One process of a deployment under test: output, signals and its end. */
+/** One process of a deployment under test: its output, signals and exit. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
-/** The whole command line. */
+/** The program with all commands. */
 const PROGRAM = fileURLToPath(new URL('../cli/main.js', import.meta.url));
-/** The program of machines that stand beside one target: the `sidecar` command alone. */
+/** The program with the `sidecar` command alone, for machines that run next to one target. */
 export const SIDECAR_PROGRAM = fileURLToPath(new URL('../cli/sidecar-main.js', import.meta.url));
-/** Output kept of each stream, in characters; older text is dropped. */
-const KEPT_OUTPUT = 4_000_000;
-/** Exit code of a process that a signal ended. */
+/** Last characters kept of standard error; of standard output, 16 times as many are kept. */
+const MAX_OUTPUT_CHARACTERS = 4_000_000;
+/** Exit code after a signal. */
 const EXIT_SIGNALLED = 130;
 
 const running = new Set<ChildProcess>();
 
-// Whatever ends this process, nothing that it started is left behind.
+// Kills the child processes when this process exits.
 process.once('exit', () => {
   for (const child of running) child.kill('SIGKILL');
 });
-// A signal ends a process without its exit event; the test runner ends files that hang by one.
+// By default a signal terminates a process without its `exit` event. The test runner sends one to
+// test files that hang.
 for (const signal of ['SIGTERM', 'SIGINT'] as const) {
   process.once(signal, () => process.exit(EXIT_SIGNALLED));
 }
 
-/** How a process ended. */
+/** How a process exited. */
 export interface ProcessEnd {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
@@ -35,7 +36,7 @@
   private errors = '';
   private end: ProcessEnd | undefined;
   private readonly watchers = new Set<() => void>();
-  /** Settles when the process has ended. */
+  /** Resolves when the process has exited and its output is complete. */
   readonly ended: Promise<ProcessEnd>;
 
   constructor(
@@ -45,11 +46,11 @@
   ) {
     this.child = spawn(process.execPath, [program, ...args], { stdio: ['ignore', 'pipe', 'pipe'] });
     this.child.stdout!.setEncoding('utf8').on('data', (text: string) => {
-      this.output = (this.output + text).slice(-KEPT_OUTPUT * 16);
+      this.output = (this.output + text).slice(-MAX_OUTPUT_CHARACTERS * 16);
       this.notify();
     });
     this.child.stderr!.setEncoding('utf8').on('data', (text: string) => {
-      this.errors = (this.errors + text).slice(-KEPT_OUTPUT);
+      this.errors = (this.errors + text).slice(-MAX_OUTPUT_CHARACTERS);
     });
     running.add(this.child);
     this.ended = new Promise((resolve) => {
@@ -78,15 +79,15 @@
     if (this.running) this.child.kill(signal);
   }
 
-  /** Waits for the first complete line of output; rejects when the process ends before it. */
+  /** Waits for the first complete line of output; rejects when the process exits before. */
   async firstLine(timeoutMs: number): Promise<string> {
     await this.waitFor(() => this.output.includes('\n'), timeoutMs);
     return this.output.slice(0, this.output.indexOf('\n'));
   }
 
-  /** Ends the process with a signal and, when it takes too long, by SIGKILL. */
+  /** Stops the process with a signal, and with SIGKILL when it has not exited in time. */
   async stop(signal: NodeJS.Signals = 'SIGTERM', timeoutMs = 10_000): Promise<ProcessEnd> {
-    // A stopped process acts on no signal but SIGCONT and SIGKILL.
+    // A suspended process handles no signal but SIGCONT and SIGKILL.
     this.signal('SIGCONT');
     this.signal(signal);
     const timer = setTimeout(() => {
@@ -110,7 +111,7 @@
         if (condition()) settle(resolve);
         else if (!this.running)
           settle(() => {
-            reject(describe('ended too early'));
+            reject(describe('exited too early'));
           });
       };
       const timer = setTimeout(() => {
--- a/src/trials/membership-commands.ts
+++ b/src/trials/membership-commands.ts
@@ -8,7 +8,7 @@
 const DEFAULT_SIZES = ['10', '100', '300'];
 const MIN_NODES = 5;
 
-/** Measures the membership protocol alone. */
+/** Measures the membership protocol without the rest of a node. */
 export class BenchMembershipCommand extends SillshoreCommand {
   static override paths = [['bench', 'membership']];
   static override usage = Command.Usage({
@@ -47,5 +47,5 @@
   }
 }
 
-/** Commands of this module. */
+/** Commands that run the membership protocol in simulation. */
 export const commands = [BenchMembershipCommand];
--- a/src/trials/simulated-fleet.ts
+++ b/src/trials/simulated-fleet.ts
@@ -1,4 +1,4 @@
-/** A fleet of membership protocols under virtual time, with a network that can fail. */
+/** A fleet of membership protocols in virtual time, with a network that can fail. */
 import { calculateObjectSize } from 'bson';
 import type { MemberFacts } from '../core/member.js';
 import { MembershipProtocol } from '../core/membership/membership-protocol.js';
@@ -10,28 +10,27 @@
 import { createRandom, type Random } from '../core/random.js';
 import { DatagramCodec } from '../membership/datagram-codec.js';
 
-/** Bytes of an IPv4 and a UDP header. */
+/** An IPv4 header (20 bytes) and a UDP header (8 bytes). */
 const PACKET_HEADER_BYTES = 28;
 
-/** A protocol instance with its place in the network. */
+/** A protocol instance with its network address and process state. */
 export interface SimulatedNode {
   readonly id: string;
   readonly zone: string;
   readonly address: string;
   readonly protocol: MembershipProtocol;
-  /** The process runs. */
+  /** Whether the process runs. */
   running: boolean;
-  /** The process stands still (SIGSTOP); its datagrams wait. */
+  /** Whether the process is suspended, as by SIGSTOP; its inputs wait in `waiting`. */
   paused: boolean;
   readonly waiting: (() => void)[];
   timerAt: number;
   /** Bytes sent and received, packet headers included. */
   bytes: number;
-  /** Names of events, as `failed node-3`. */
+  /** Events with their nodes, as `failed node-3`. */
   readonly events: string[];
 }
 
-/** What makes a node. */
 export interface NodeSpec {
   readonly id: string;
   readonly zone?: string;
@@ -46,33 +45,33 @@
   readonly run: () => void;
 }
 
-/** The fleet and its network. Deterministic for a seed. */
+/** The fleet and its network. A seed determines the whole run. */
 export class SimulatedFleet {
   now = 0;
   readonly nodes = new Map<string, SimulatedNode>();
-  /** Share of datagrams that are lost. */
+  /** Fraction of datagrams that are lost, 0 to 1. */
   lossRate = 0;
   /** Whether packets from one node to another are dropped. */
   isCut: (from: SimulatedNode, to: SimulatedNode) => boolean = () => false;
-  /** Count bytes with the real codec; slower. */
+  /** Whether bytes are counted with the real codec, which is slower. */
   countBytes = false;
-  /** Largest datagram sent while counting. */
+  /** Bytes of the largest datagram sent while `countBytes` was set. */
   largestDatagram = 0;
   private readonly heap: ScheduledEvent[] = [];
   private readonly random: Random;
   private readonly codec = new DatagramCodec('a key of the simulated fleet');
-  private created = 0;
+  private scheduledCount = 0;
 
   constructor(seed: number) {
     this.random = createRandom(seed);
   }
 
-  /** Starts nodes `node-1` and up over three zones, each joining by the first two. */
+  /** Starts nodes `node-1` and up in three zones; each joins through the first two. */
   addNodes(count: number): void {
     for (let index = 1; index <= count; index += 1) this.addNode({ id: `node-${index}` });
   }
 
-  /** Starts nodes that know each other from the beginning, as a fleet that has long run. */
+  /** Starts nodes that already know each other, like a fleet that has been running for long. */
   addFormedNodes(count: number): void {
     this.addNodes(count);
     const updates = this.running().flatMap(({ id, protocol }) => protocol.listFacts([id]));
@@ -81,7 +80,7 @@
     }
   }
 
-  /** Starts one node; one of the same id replaces the earlier process. */
+  /** Starts a node; it replaces an earlier node of the same ID. */
   addNode(spec: NodeSpec): SimulatedNode {
     const index = this.nodes.size;
     const zone = spec.zone ?? `zone-${index % 3}`;
@@ -123,17 +122,16 @@
     return this.nodes.get(id)!;
   }
 
-  /** Nodes whose process runs. */
   running(): SimulatedNode[] {
     return [...this.nodes.values()].filter((node) => node.running);
   }
 
-  /** Ends a process without a word. */
+  /** Kills processes, which send nothing before they exit. */
   kill(...ids: string[]): void {
     for (const id of ids) this.node(id).running = false;
   }
 
-  /** Stops a process for a while; its datagrams wait for it. */
+  /** Suspends a process until {@link resume}; its inputs wait. */
   pause(id: string): void {
     this.node(id).paused = true;
   }
@@ -145,13 +143,13 @@
     this.arm(node);
   }
 
-  /** Runs an input of a node's protocol and what follows from it. */
+  /** Passes an input to a node's protocol and performs the resulting actions. */
   act(node: SimulatedNode, input: (now: number) => readonly MembershipAction[]): void {
     for (const action of input(this.now)) this.perform(node, action);
     this.arm(node);
   }
 
-  /** Moves virtual time forward. */
+  /** Advances virtual time and runs the events that fall in it. */
   run(milliseconds: number): void {
     const end = this.now + milliseconds;
     while (this.heap.length > 0 && this.heap[0]!.at <= end) {
@@ -163,9 +161,9 @@
   }
 
   /**
-   * Runs until a condition holds.
+   * Runs until a condition is true.
    *
-   * @returns milliseconds that it took, or Infinity when it did not hold within the limit
+   * @returns virtual milliseconds that it took, or Infinity when it was not true within the limit
    */
   runUntil(condition: () => boolean, limitMs: number, stepMs = 50): number {
     for (let waited = 0; waited <= limitMs; waited += stepMs) {
@@ -175,7 +173,7 @@
     return Infinity;
   }
 
-  /** Whether every running node sees exactly the running nodes, none of them suspected. */
+  /** Whether every running node lists exactly the running nodes, none of them as suspect. */
   hasConverged(): boolean {
     const running = this.running();
     const expected = running.map(({ id }) => id).sort();
@@ -188,7 +186,7 @@
     });
   }
 
-  /** Events of a name over all nodes. */
+  /** Number of events over all nodes whose text starts with `name`. */
   countEvents(name: string): number {
     let count = 0;
     for (const { events } of this.nodes.values()) {
@@ -225,21 +223,21 @@
     else handle();
   }
 
-  /** The exchange of MemberSync, in one step after a round trip. */
+  /** Runs the exchange of MemberSync in one step, after one round trip. */
   private exchange(from: SimulatedNode, nodeId: string): void {
     this.schedule(2 * this.latency(), () => {
       const to = this.nodes.get(nodeId);
       if (to === undefined || !this.canCall(from, to)) return;
       const request = from.protocol.createSyncRequest();
-      let handOvers: readonly MemberSyncRequest[] | undefined;
+      let transfers: readonly MemberSyncRequest[] | undefined;
       let after = '';
       do {
         const reply = this.call(from, to, { ...request, after });
-        handOvers ??= from.protocol.createHandOvers(reply.buckets);
+        transfers ??= from.protocol.createHandOvers(reply.buckets);
         this.act(from, (now) => from.protocol.onSyncReply(now, to.id, reply.updates));
         after = reply.next;
       } while (after !== '');
-      for (const handOver of handOvers) this.call(from, to, handOver);
+      for (const transfer of transfers) this.call(from, to, transfer);
     });
   }
 
@@ -277,7 +275,7 @@
     return this.codec.encode(message).length + PACKET_HEADER_BYTES;
   }
 
-  /** One way: 0.5 to 1.5 ms. */
+  /** One-way latency of 0.5 to 1.5 ms. */
   private latency(): number {
     return 0.5 + this.random.next();
   }
@@ -296,8 +294,8 @@
   }
 
   private schedule(delayMs: number, run: () => void): void {
-    this.created += 1;
-    const event = { at: this.now + delayMs, order: this.created, run };
+    this.scheduledCount += 1;
+    const event = { at: this.now + delayMs, order: this.scheduledCount, run };
     const { heap } = this;
     let index = heap.length;
     heap.push(event);
