--- a/spec/claim-placement.pml
+++ b/spec/claim-placement.pml
@@ -1,23 +1,24 @@
 /*
  * Change of epoch of a replica group. The members of epoch 0 (nodes 0, 1, 2) stop voting and
- * agree on one record of epoch 1 by single-decree Paxos; the tables that came with the promises
- * start the new members. Two proposers want different members; either may stop at any step.
- * Coordinators claim in one epoch each. Nodes may restart without memory.
+ * agree on one record of epoch 1 by single-decree Paxos. The new members start with the tables
+ * that came with the promises. Two proposers propose different members; either may stop at any
+ * step. Each coordinator claims in one epoch. Nodes may restart and then lose their memory.
  *
  * The properties: at most one coordinator dispatches, over both epochs together, and at most one
  * record is decided.
  *
  * Code: src/core/claim/claim-replica.ts, epoch-change.ts. Explained in docs/design/claims.md.
  * Run by spec/claim.check. Each mutation removes one rule and must violate a property:
- *   NO_STOP                  a promise does not stop the member's votes
+ *   NO_STOP                  a member that has promised continues to vote on claims
  *   STOP_ONE                 one promise and one acceptance are enough
  *   NO_HANDOVER              new members start with empty tables
- *   IGNORE_ACCEPTED          a proposer ignores what the promises say was accepted before
- *   INSTALL_ANY_INCARNATION  a record starts a node that restarted after the record was made
- *   FORGET_SEAL              a restarted member inherits the claims but not the stop
- *   NO_INCARNATION_CHECK     votes, promises and acceptances count without the check
- * With OBSERVE_EARLY a node may hear of epoch 1 before a majority was started, and read one member.
- * With FIRST_EPOCH the first coordinator claims in that epoch, and the others in epoch 1.
+ *   IGNORE_ACCEPTED          a proposer ignores earlier acceptances that promises report
+ *   INSTALL_ANY_INCARNATION  a record starts a node that restarted after the record was created
+ *   FORGET_SEAL              a restarted member recovers the claims but not the seal, and votes
+ *   NO_INCARNATION_CHECK     votes, promises and acceptances count without an incarnation check
+ * With OBSERVE_EARLY a node may learn of epoch 1 before a majority was started, and then reads one
+ * member.
+ * With FIRST_EPOCH the first coordinator claims in that epoch and the others in epoch 1.
  */
 #define NODES 4
 #ifndef PROPOSERS
@@ -30,7 +31,7 @@
 #define RESTARTS 1
 #endif
 
-/* Holders of the key are a set of coordinators: one bit each. Several are a conflict. */
+/* The holders of the key are a set of coordinators, one bit each. Several holders are a conflict. */
 #define FREE 0
 #define HOLDER(c) (1 << (c))
 #define HOLDS(holders, c) (((holders) & HOLDER(c)) != 0)
@@ -52,7 +53,7 @@
 
 #define AT(row, column) ((row) * NODES + (column))
 
-/* Members: 0, 1, 2 in epoch 0; 0, 1, 3 when proposer 0's record is next; 1, 2, 3 for proposer 1's. */
+/* Members of epoch 0: 0, 1, 2. Of epoch 1: 0, 1, 3 by proposer 0's record, 1, 2, 3 by proposer 1's. */
 #define OLD_MEMBER(n) ((n) != 3)
 #define NEW_MEMBER(value, n) ((value) == 0 && (n) != 2 || (value) == 1 && (n) != 0)
 #define IS_MEMBER(e, n) ((e) == 0 && OLD_MEMBER(n) || (e) == 1 && NEW_MEMBER(decided, n))
@@ -64,23 +65,23 @@
 byte incarnation[NODES];
 byte known[16];              /* AT(n, m) */
 byte promised[NODES];        /* ballot of proposer p is p + 1 */
-byte acceptedBy[NODES];      /* ballot + 0, or 0 */
+byte acceptedBy[NODES];      /* ballot of the acceptance; 0 when there is none */
 byte acceptedValue[NODES];
 bool wasRead[16];
 byte restarts;
 
-/* Proposers; a value is the number of the proposer that made the record. */
+/* Proposers. A value is the number of the proposer that created the record. */
 byte step[2];
 bool proposed[2];
-byte recordIncarnation[8];   /* AT(p, n): incarnations that the record of p names */
+byte recordIncarnation[8];   /* AT(p, n): incarnation of n in the record of p */
 byte chosen[2];
-byte highest[2];     /* ballot of the highest acceptance among the promises */
-byte merged[2];      /* holder of the key in the tables of the promises */
-bool got[8];                 /* AT(p, n): promise, later acceptance, of n */
+byte highest[2];     /* highest ballot of an acceptance among the promises */
+byte merged[2];      /* holders of the key in the tables of the promises */
+bool got[8];                 /* AT(p, n): p has the promise of n, in step ACCEPTING its acceptance */
 byte gotIncarnation[8];
 byte gotKnown[32];           /* AT(AT(p, n), m) */
-byte decided = NOBODY;       /* value, for the property and for the members of epoch 1 */
-byte installs;               /* members that were started in epoch 1 */
+byte decided = NOBODY;       /* decided value, which determines the members of epoch 1 */
+byte installs;               /* members started in epoch 1; counted up to 2 */
 
 /* Coordinators. */
 byte phase[COORDINATORS + 1];
@@ -91,14 +92,14 @@
 byte dispatches;
 byte undecided = COORDINATORS; /* coordinators that may still dispatch */
 
-/* Runs in which a second dispatch has become impossible need not be explored further. */
+/* Prunes runs in which a second dispatch has become impossible. */
 #if COORDINATORS == 0
 #define RELEVANT true
 #else
 #define RELEVANT (undecided + dispatches >= 2)
 #endif
 
-/* Replies that no longer matter are dropped, so that equal states are seen as equal. */
+/* Clears replies that no longer matter, so that states which differ only in them are merged. */
 #define DROP_ONE(has, whose, knows, x, n) \
   has[AT(x, n)] = false; whose[AT(x, n)] = 0; \
   knows[AT(AT(x, n), 0)] = 0; knows[AT(AT(x, n), 1)] = 0; \
@@ -132,7 +133,7 @@
 #define VOTES(n) (status[n] == VOTING)
 #endif
 
-/* Joins the holders that two tables name. */
+/* Union of the holders in two tables. */
 #define MERGE(left, right) ((left) | (right))
 
 inline handleClaim(c, n) {
@@ -312,7 +313,7 @@
   od
 }
 
-/* A restart loses everything; the node learns of epoch 0 at once and of epoch 1 by observe. */
+/* A restart loses all state. The node knows epoch 0 at once and learns of epoch 1 by `observe`. */
 inline restart(n) {
   atomic {
     RELEVANT && restarts < RESTARTS ->
@@ -338,7 +339,7 @@
 #define ANNOUNCED (installs == 2)
 #endif
 
-/* A node hears that epoch 1 is established: a majority of its members has been started. */
+/* A node learns that epoch 1 is established: a majority of its members has been started. */
 inline observe(n) {
   atomic {
     RELEVANT && ANNOUNCED && epoch[n] == 0 ->
@@ -353,8 +354,8 @@
 }
 
 /*
- * Recovering or pending n reads member m. The reply is taken in with the read: other members
- * cannot finish a recovery of their own before n has, and claim.pml lets replies wait.
+ * A recovering or pending node n reads member m and gets the reply in the same step. Other members
+ * cannot finish their own recovery before n does; claim.pml models delayed replies.
  */
 inline read(n, m) {
   atomic {
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,19 +1,19 @@
 /*
- * Claims within one epoch: a key is granted by a majority of three replicas that keep it in
- * memory only. Replicas may restart; a restarted one reads the two others before it votes.
+ * Claims within one epoch. A majority of three replicas grants a key; the replicas keep it in
+ * memory only. A replica may restart, and then reads the two others before it votes.
  *
- * A coordinator is one round of one attempt (each round claims under an id of its own). Requests
- * may arrive at any time, more than once, and also after the coordinator has given up; replies
- * may wait or be lost. The property: at most one coordinator dispatches.
+ * A coordinator models one round of one attempt; each round claims under its own ID. Requests may
+ * arrive at any time, more than once, and also after the coordinator has given up. Replies may be
+ * delayed or lost. The property: at most one coordinator dispatches.
  *
  * Code: src/core/claim/claim-replica.ts, claim-coordinator.ts. Explained in docs/design/claims.md.
  * Run by spec/claim.check. Each mutation below removes one rule and must violate the property:
  *   NAIVE_RESTART            a restarted replica votes at once, with an empty table
  *   RECOVER_FROM_ONE         it votes after it has read one of the two others
- *   RECOVER_FROM_RECOVERING  it reads replicas that are recovering themselves
- *   CONFLICT_TAKES_FIRST     tables that differ: it believes the first
- *   NO_INCARNATION_CHECK     a coordinator counts any two grants
- *   DISPATCH_AFTER_GIVE_UP   a coordinator that gave up uses grants that come later
+ *   RECOVER_FROM_RECOVERING  it also reads replicas that are still recovering
+ *   CONFLICT_TAKES_FIRST     when the tables that it read differ, it adopts the first
+ *   NO_INCARNATION_CHECK     a coordinator takes any two grants as a majority
+ *   DISPATCH_AFTER_GIVE_UP   a coordinator that gave up still uses grants, also later ones
  *   RELEASE_AFTER_DISPATCH   a coordinator releases its grants after it has dispatched
  *   REUSE_ROUND_ID           a coordinator that gave up claims again under the same id
  */
@@ -25,7 +25,7 @@
 #define RESTARTS 2
 #endif
 
-/* Holders of the key are a set of coordinators: one bit each. Several are a conflict. */
+/* The holders of the key are a set of coordinators, one bit each. Several holders are a conflict. */
 #define FREE 0
 #define HOLDER(c) (1 << (c))
 #define HOLDS(holders, c) (((holders) & HOLDER(c)) != 0)
@@ -40,8 +40,8 @@
 byte incarnation[REPLICAS];
 bool voting[REPLICAS];
 byte holder[REPLICAS];
-byte known[9];           /* AT(r, s): incarnation of s that r knows */
-bool wasRead[9];         /* AT(r, s): recovering r has a reply of s */
+byte known[9];           /* AT(r, s): incarnation of s known to r */
+bool wasRead[9];         /* AT(r, s): recovering replica r has a reply from s */
 byte readHolder[9];
 byte readIncarnation[9];
 byte restarts;
@@ -55,7 +55,7 @@
 byte dispatches;
 byte undecided = COORDINATORS; /* coordinators that may still dispatch */
 
-/* Runs in which a second dispatch has become impossible need not be explored further. */
+/* Prunes runs in which a second dispatch has become impossible. */
 #define RELEVANT (undecided + dispatches >= 2)
 
 #ifdef NO_INCARNATION_CHECK
@@ -68,7 +68,7 @@
 #endif
 #define MAJORITY(c) (AGREE(c, 0, 1) || AGREE(c, 0, 2) || AGREE(c, 1, 2))
 
-/* Coordinators are alike, so only runs in which they start in order need to be explored. */
+/* Coordinators are interchangeable, so only runs in which they start in order are explored. */
 #define STARTED(c) \
   (phase[c] != COLLECTING || granted[AT(c, 0)] || granted[AT(c, 1)] || granted[AT(c, 2)])
 #define MAY_START(c) (c == 0 || STARTED(c - 1))
@@ -79,7 +79,7 @@
 #define MAY_DISPATCH(c) (phase[c] == COLLECTING)
 #endif
 
-/* Replies that no longer matter. */
+/* Clears grants that no longer matter, which reduces the number of states. */
 inline dropGrants(c) {
   granted[AT(c, 0)] = false;
   granted[AT(c, 1)] = false;
@@ -95,7 +95,7 @@
   grantKnown[AT(AT(c, r), 2)] = 0
 }
 
-/* Replica r handles a claim of c, for the first time or again. The coordinator uses either reply. */
+/* Replica r handles a claim of c, the first one or a duplicate. The coordinator may use any reply. */
 inline handleClaim(c, r) {
   atomic {
     RELEVANT && MAY_START(c) && voting[r] && (holder[r] == FREE || holder[r] == HOLDER(c)) ->
@@ -112,7 +112,7 @@
   }
 }
 
-/* Replica r handles a release of c; it may come late and more than once. */
+/* Replica r handles a release of c, which may arrive late and more than once. */
 inline handleRelease(c, r) {
   atomic {
     RELEVANT && releasing[c] && voting[r] && HOLDS(holder[r], c) ->
@@ -168,8 +168,8 @@
 #define READABLE(s) voting[s]
 #endif
 
-/* Replica s handles a read of the restarted r, and from then on knows its new incarnation.
-   Of several replies r may use any. */
+/* Replica s handles a read of the restarted r and so learns its new incarnation. r may use any of
+   several replies. */
 inline handleRead(r, s) {
   atomic {
     RELEVANT && !voting[r] && READABLE(s) ->
@@ -184,7 +184,7 @@
   }
 }
 
-/* A read that an earlier incarnation of r sent arrives late: its reply finds nobody. */
+/* A read sent by an earlier incarnation of r arrives late; its reply is discarded. */
 inline handleStaleRead(r, s) {
   atomic {
     RELEVANT && voting[s] && known[AT(s, r)] + 1 < incarnation[r] ->
@@ -221,7 +221,7 @@
 #define READ_ENOUGH(r, a, b) (wasRead[AT(r, a)] && wasRead[AT(r, b)])
 #endif
 
-/* The restarted r has its replies and votes again. */
+/* The restarted r has enough replies, adopts the holders and votes again. */
 inline recover(r, a, b) {
   atomic {
     RELEVANT && !voting[r] && READ_ENOUGH(r, a, b) ->
--- a/spec/explore.sh
+++ b/spec/explore.sh
@@ -1,4 +1,4 @@
-# Shared by checks of models: explores one completely, and expects what it finds. To be sourced.
+# Functions for the *.check scripts, which source this file: explore a model and check the result.
 set -euo pipefail
 shopt -s inherit_errexit
 cd "$(dirname "${BASH_SOURCE[0]}")"
--- a/spec/quota-lease.pml
+++ b/spec/quota-lease.pml
@@ -2,14 +2,14 @@
  * Two nodes never count the limits of one group of tenants at the same time; see
  * docs/design/shifted-work.md.
  *
- * A node takes the group's key in the store under a lease, and renews the lease. It counts until the life of
- * the lease has passed since its last question that the store answered with a yes. Questions and answers take
- * any time; node 1 may be suspended, node 0 killed and started again, when it adopts its own key.
- * Time is discrete.
+ * A node writes the group's key to the store under a lease, and renews the lease. It counts until the lease
+ * duration has passed since it sent the last request that the store granted. Requests and responses may take any
+ * time. Node 1 may be suspended; node 0 may be killed and started again, and then takes over its own key. Time is
+ * discrete.
  *
- * A mutant takes one mechanism away: -DFROM_ANSWER (life from the answer's arrival), -DUNTIL_TOLD (a holder
- * counts until an answer says that the lease has ended), -DSTEADY_CLOCK (time of a suspension is not counted),
- * -DBLIND_WRITE (the key is taken without the condition that nobody holds it).
+ * A mutant removes one mechanism: -DFROM_ANSWER (the lease duration starts when the response arrives), -DUNTIL_TOLD
+ * (a holder counts until a response says that the lease has ended), -DSTEADY_CLOCK (the clock stops during a
+ * suspension), -DBLIND_WRITE (the key is written without the condition that no other node holds it).
  */
 
 #define END 5
--- a/spec/revision-distribution.pml
+++ b/spec/revision-distribution.pml
@@ -1,20 +1,22 @@
 /*
- * Distribution of accepted revisions; see docs/design/configuration.md. How a revision is
- * accepted is in revision.pml; here the newest one rises by itself.
+ * Distribution of accepted revisions; see docs/design/configuration.md. The acceptance of revisions
+ * is in revision.pml; here the newest revision increases without an operator.
  *
- * Nodes 0 and 1 are in zone A, 2 and 3 in zone B. They take revisions from the platform and
- * from each other; each reply is a message that may be delivered late or lost. The platform has
- * outages, zone B is cut off for a time, nodes die (also right after they have accepted a
- * revision) and replacements start from the platform or from peers.
+ * Nodes 0 and 1 are in zone A, nodes 2 and 3 in zone B. They receive revisions from the platform
+ * and from each other; each reply is a message that may be delivered late or lost. The platform has
+ * outages, zone B is partitioned for some time, nodes crash (also right after they have accepted a
+ * revision), and replacements start from the platform or from peers.
  *
- * Checked: a node never takes an older revision, and a zone never falls back. A zone has in force
- * the lowest revision of its ready nodes; it could fall back only where a node becomes ready.
+ * Checked: a node never applies an older revision, and a zone never returns to one. The revision in
+ * force in a zone is the lowest of its ready nodes, so it can decrease only when a node becomes
+ * ready.
  *
- * Left out: a stalled process; a membership view that is wrong about who is ready; the time between a peer's answer to a starting node and that node
- * being ready. A zone none of whose ready nodes is left has nothing in force until one is
- * ready again; that one may then have an older revision than the zone had before.
+ * Not modelled: a stalled process; a membership view with wrong readiness; the time between a peer's
+ * reply to a starting node and the readiness of that node. A zone without a ready node has no
+ * revision in force until a node is ready again, which may have an older revision than the zone had
+ * before.
  *
- * A mutant takes one mechanism away: -DTAKE_ANY, -DREADY_AT_ONCE, -DNO_PEER_AFTER_READ,
+ * A mutant removes one mechanism: -DTAKE_ANY, -DREADY_AT_ONCE, -DNO_PEER_AFTER_READ,
  * -DANY_ZONE.
  */
 
@@ -32,7 +34,7 @@
 #define neighbour(n) ((n) ^ 1)
 #define reaches(a, b) (zoneOf(a) == zoneOf(b) || !cut)
 
-/* Which peers a starting node asks when the platform cannot be read. */
+/* Which peers a starting node queries when it cannot read the platform. */
 #ifdef ANY_ZONE
 #define mayAsk(n, peer) true
 #else
@@ -45,11 +47,11 @@
 byte deaths;
 byte value[NODES];                /* revision at the node */
 bool ready[NODES] = true;
-byte readResult[NODES] = NONE;    /* what a starting node has read from the platform */
-byte messageTo = NONE;            /* a reply on its way to a ready node */
+byte readResult[NODES] = NONE;    /* revision that a starting node has read from the platform */
+byte messageTo = NONE;            /* receiver of a reply in transit, a ready node */
 byte messageValue;
 
-/* A node takes a revision in: never an older one. */
+/* A node applies a received revision, but never an older one. */
 inline takeIn(n, revision) {
     before = value[n];
 #ifdef TAKE_ANY
@@ -64,7 +66,7 @@
     before = 0
 }
 
-/* A starting node serves from now on: its zone must not fall back by it. */
+/* A starting node becomes ready; this must not lower the revision in force in its zone. */
 inline becomeReady(n) {
     assert(!ready[neighbour(n)] || value[n] >= value[neighbour(n)]);
     readResult[n] = NONE;
@@ -81,7 +83,7 @@
 
 end:
     do
-    /* A change is accepted; the accepting node has it, unless it dies at once. */
+    /* A change is accepted; the accepting node has the revision, unless it crashes at once. */
     :: atomic {
         up && head < REVISIONS ->
         head++;
@@ -109,7 +111,7 @@
         fi;
         resetChoices()
        }
-    /* A reply to a ready node sets out: from the platform, or from a peer. */
+    /* The platform or a peer sends a reply to a ready node. */
     :: atomic {
         messageTo == NONE ->
         select(n : 0 .. NODES - 1);
@@ -124,7 +126,7 @@
        }
     :: atomic { messageTo != NONE -> takeIn(messageTo, messageValue); messageTo = NONE; messageValue = 0 }
     :: atomic { messageTo != NONE -> messageTo = NONE; messageValue = 0 }
-    /* A starting node reads the platform; the answer may take its time. */
+    /* A starting node reads the platform; the reply may be delayed. */
     :: atomic {
         up ->
         select(n : 0 .. NODES - 1);
@@ -134,7 +136,7 @@
         fi;
         resetChoices()
        }
-    /* The answer is there; a ready peer of the zone is asked too, when there is one. */
+    /* The reply has arrived; the node also queries the other node of its zone, if that is ready. */
     :: atomic {
         select(n : 0 .. NODES - 1);
         if
@@ -151,7 +153,8 @@
         fi;
         resetChoices()
        }
-    /* The platform cannot be read: a peer of the zone, or of another when it has none. */
+    /* The platform cannot be read: the node queries a peer of its zone, or of the other zone when
+       its zone has no ready node. */
     :: atomic {
         select(n : 0 .. NODES - 1);
         select(peer : 0 .. NODES - 1);
--- a/spec/revision.pml
+++ b/spec/revision.pml
@@ -1,32 +1,32 @@
 /*
- * Acceptance of rules revisions; see docs/design/configuration.md. What nodes do with accepted
- * revisions is in revision-distribution.pml.
+ * Acceptance of rules revisions; see docs/design/configuration.md. The distribution of accepted
+ * revisions to nodes is in revision-distribution.pml.
  *
- * Operators change one tenant's rules through any node. A transaction's answer may be lost, the
- * transaction may take effect much later, the platform has outages, the accepting node may die
- * at any step, and the operator repeats the operation through another node.
+ * Operators change one tenant's rules through any node. A transaction's response may be lost, the
+ * transaction may take effect much later, the platform has outages, the accepting node may crash
+ * at any step, and the operator retries the operation through another node.
  *
- * Left out: several tenants (the same compare puts their changes in one order; covered by a
- * test), and the time limits: a repeat may come at any moment.
+ * Not modelled: several tenants (the same compare orders their changes; covered by a test), and
+ * time limits: a retry may come at any moment.
  *
- * A mutant takes one mechanism away: -DNO_HEAD_COMPARE, -DNO_OPERATION_COMPARE,
+ * A mutant removes one mechanism: -DNO_HEAD_COMPARE, -DNO_OPERATION_COMPARE,
  * -DUNKNOWN_AS_FAILED, -DNO_LOOKUP.
  */
 
 #define OPERATORS 2
-#define COPIES 2      /* transactions of one operation that may be on their way at once */
+#define COPIES 2      /* transactions of one operation that may be in transit at the same time */
 #define NONE 15
 
 #ifndef ROUNDS
-#define ROUNDS 4      /* reads and writes that one operator causes at most */
+#define ROUNDS 4      /* rounds of a read and a write that one operator causes at most */
 #endif
 
 /* The platform. Revision numbers stand for versions: there is one tenant. */
 byte head;                        /* newest accepted revision */
-byte revisionOf[OPERATORS];       /* revision that an operation made; 0 when none */
-byte late[OPERATORS * COPIES];    /* head compared by a transaction still on its way */
+byte revisionOf[OPERATORS];       /* revision that an operation created; 0 when none */
+byte late[OPERATORS * COPIES];    /* head that a transaction in transit compares */
 
-/* The platform carries a transaction out. */
+/* The platform executes a transaction. */
 inline execute(operation, compared, succeeded) {
     succeeded = true;
 #ifndef NO_HEAD_COMPARE
@@ -43,7 +43,7 @@
 #endif
     if
     :: succeeded ->
-        assert(compared == head);              /* no accepted revision is replaced unseen */
+        assert(compared == head);              /* no accepted revision is overwritten unseen */
         assert(revisionOf[operation] == 0);    /* an operation takes effect once */
         head++;
         revisionOf[operation] = head
@@ -51,14 +51,14 @@
     fi
 }
 
-/* What an operator is told must be true, whatever arrives later. */
+/* A report that an operation was not applied must stay true, whichever transactions arrive later. */
 inline tellNotApplied(operation) {
     assert(revisionOf[operation] == 0);
     assert(late[operation * COPIES] != head);
     assert(late[operation * COPIES + 1] != head)
 }
 
-/* A node tells the operator that the write's outcome is unknown, or goes on to settle it. */
+/* The node reports an unknown outcome to the operator, or continues to determine it. */
 inline noteUnknown() {
 #ifdef UNKNOWN_AS_FAILED
     tellNotApplied(o)
@@ -71,18 +71,18 @@
     byte expected, seen, rounds;
     bool outstanding, succeeded;
 
-round:  /* of one node, or of another one that the operator repeats the operation at */
+round:  /* at one node; a further round may be at another node, where the operator retries */
     atomic {
         rounds++;
         if
-        :: expected = head                     /* the operator has looked at the newest */
+        :: expected = head                     /* the operator has read the newest revision */
         :: true
         fi
     }
     atomic {
         if
         :: seen = head
-        :: true ->                             /* outage, or the node has died */
+        :: true ->                             /* outage, or the node has crashed */
             if
             :: !outstanding -> tellNotApplied(o)
             :: else
@@ -97,7 +97,7 @@
         fi;
         if
         :: expected == seen
-        :: expected != seen ->                 /* looks up the operation, then it is a conflict */
+        :: expected != seen ->                 /* a conflict, unless a look-up finds the operation */
 #ifndef NO_LOOKUP
             if
             :: revisionOf[o] != 0 -> goto accepted
@@ -106,13 +106,13 @@
 #endif
             tellNotApplied(o);
             outstanding = false;
-            expected = seen;                   /* the operator puts the change on the new one */
+            expected = seen;                   /* the operator rebases the change on the newest revision */
             goto decide
         fi
     }
     atomic {
         if
-        :: execute(o, seen, succeeded);        /* the answer arrives */
+        :: execute(o, seen, succeeded);        /* the response arrives */
             if
             :: succeeded -> goto accepted
             :: !succeeded && revisionOf[o] != 0 -> goto accepted    /* look-up */
--- a/spec/rules-confirmation.pml
+++ b/spec/rules-confirmation.pml
@@ -1,14 +1,16 @@
 /*
- * No request runs with an API key later than a bound after the store has acknowledged that the key was taken
- * away, on any node; see docs/design/shifted-work.md.
+ * No node accepts an API key later than a bound after the store has acknowledged its revocation; see
+ * docs/design/shifted-work.md.
  *
- * Node 0 asks the store for its version and is confirmed as of its question; node 1 asks node 0, which tells
- * the age of its confirmation. Questions, answers and replies take any time. Node 1 may be suspended. Time is
- * discrete; a node takes the key while its rules hold it and its confirmation is younger than the bound.
+ * Node 0 queries the store for the rules version; the response confirms the rules as of the time of the query.
+ * Node 1 queries node 0, whose reply contains the age of its confirmation. Queries, responses and replies may take
+ * any time. Node 1 may be suspended. Time is discrete. A node accepts the key while its rules contain the key and
+ * its confirmation is younger than the bound.
  *
- * A mutant takes one mechanism away: -DFROM_ANSWER (age from the answer's arrival), -DWITHOUT_AGE (handed on
- * without its age), -DFROM_REPLY (age from the reply's arrival), -DWAIT_PROVES (a wait for changes that has
- * not ended counts as an answer), -DSTEADY_CLOCK (time of a suspension is not counted).
+ * A mutant removes one mechanism: -DFROM_ANSWER (the age counts from the arrival of the response), -DWITHOUT_AGE
+ * (node 1 ignores the age in the reply), -DFROM_REPLY (the age counts from the arrival of the reply), -DWAIT_PROVES
+ * (a wait for changes that has not ended counts as a response), -DSTEADY_CLOCK (the clock stops during a
+ * suspension).
  */
 
 #define END 5
@@ -16,11 +18,11 @@
 
 byte now;
 
-/* The store: version 1 takes the key away. */
+/* The store. Version 1 revokes the key. */
 byte version;
 byte acknowledgedAt;
 
-/* Node 0, with a question to the store, and a wait for changes. */
+/* Node 0, with a query to the store and a wait for changes. */
 byte version0;
 bool confirmed0;
 byte confirmedAt0;
@@ -29,7 +31,7 @@
 bool answered0;
 byte answer0;
 
-/* Node 1, with a question to node 0. */
+/* Node 1, with a query to node 0. */
 byte version1;
 bool confirmed1;
 byte confirmedAt1;
@@ -88,7 +90,7 @@
     :: atomic { !suspended1 && replied1 && replyAge1 <= askedAt1 ->
         asked1 = false;
         replied1 = false;
-        /* A confirmation of a version that is not in force here counts for nothing. */
+        /* A confirmation of a version newer than the one in force here is ignored. */
         if
         :: reply1 <= version1 ->
             confirmed1 = true;
--- a/spec/store-era.pml
+++ b/spec/store-era.pml
@@ -1,19 +1,20 @@
 /*
- * A leave that was acknowledged binds, though the store comes back from an older copy and the node
- * beside the target starts anew; see docs/design/store-eras.md.
+ * A target whose leave was acknowledged gets no new work, even when the store is restored from an older
+ * copy and the target's sidecar restarts; see docs/design/store-eras.md.
  *
- * One node writes its record under the condition of the revision that it last saw, and acknowledges
- * the leave of its target when the write is acknowledged. The store comes back from a copy twice at most,
- * each time in the next era and with the revisions of then. The node may be killed and started again;
- * a write and an answer may be on their way meanwhile. A peer hears of the leave over a link before the
- * store acknowledges it, and lives.
+ * One node writes its record on condition that the store's revision is the last one that it saw, and
+ * acknowledges the leave of its target when the store has acknowledged the write. The store is restored from
+ * a copy twice at most, each time in the next era and with the copied revisions. The node may be killed and
+ * started again while a write and a response are in transit. A peer learns of the leave over a link before
+ * the store acknowledges it, and does not crash.
  *
- * Left out: a leave that no peer has heard of when its node is killed (all links of the node were cut);
- * leases; other nodes' records.
+ * Not modelled: a leave that no peer has learned of when its node is killed (all links of the node were
+ * cut); leases; other nodes' records.
  *
- * A mutant takes one mechanism away: -DTRUST_RECORD (an old record is believed in each era),
- * -DNO_TELL (peers are not told), -DACKNOWLEDGE_FIRST (before the store holds the leave and peers have
- * heard), -DIGNORE_ERA (an answer counts whatever its era, and beliefs stay).
+ * A mutant removes one mechanism: -DTRUST_RECORD (a record of an older era is trusted in every era),
+ * -DNO_TELL (peers are not notified), -DACKNOWLEDGE_FIRST (the leave is acknowledged before the store
+ * contains it and peers were notified), -DIGNORE_ERA (a response counts whatever its era, and what the node
+ * knows of the store stays valid in a new era).
  */
 
 #define KILLS 2
@@ -44,7 +45,7 @@
 byte knownRevision = 1;
 mtype stored = ready;
 
-/* A write, and an answer, on their way. */
+/* A write and a response in transit. */
 bool hasWrite;
 mtype written;
 byte condition;
@@ -60,7 +61,7 @@
 bool peerKnows;
 bool acknowledged;
 
-/* An answer tells the era: a newer one voids what was believed. */
+/* A response contains the era. A newer era invalidates what the node knows of the store. */
 inline hear(told) {
 #ifndef IGNORE_ERA
     if
@@ -90,7 +91,7 @@
         revision = copyOfRevision;
         recordEra = copyOfRecordEra }
 
-    /* The target says that it leaves; again, after a restart that knows nothing of it. */
+    /* The target reports that it leaves, once more after a restart in which its node lost the report. */
     :: atomic { alive && target == ready && !acknowledged ->
         target = leaving;
 #ifdef ACKNOWLEDGE_FIRST
@@ -100,7 +101,7 @@
 #endif
        }
 
-    /* The node reads the revision, and writes what it knows. */
+    /* The node reads the revision, and writes the target's state to its record. */
     :: atomic { alive && knownRevision == NONE && !hasAnswer ->
         hear(era);
         knownRevision = revision }
@@ -114,7 +115,7 @@
         writtenLife = life;
         knownRevision = NONE }
 
-    /* The store takes a write, also after its writer is gone. */
+    /* The store executes a write, also after its writer was killed. */
     :: atomic { hasWrite && !hasAnswer ->
         hasWrite = false;
         committed = (condition == revision);
@@ -131,7 +132,7 @@
         answerEra = era;
         answerLife = writtenLife }
 
-    /* The answer arrives, maybe late; or is lost. */
+    /* The response arrives, maybe late, or is lost. */
     :: atomic { hasAnswer ->
         hasAnswer = false;
         if
@@ -150,7 +151,7 @@
         fi }
     :: atomic { hasAnswer -> hasAnswer = false }
 
-    /* The node is killed, and starts from its record. */
+    /* The node is killed, and starts again from its record. */
     :: atomic { alive && kills < KILLS ->
         kills++;
         alive = false;
@@ -174,7 +175,7 @@
     /* The node sends its target new work. */
     :: atomic { alive && target == ready -> assert(!acknowledged) }
 
-    /* A leave that the node believes to be stored in this era is. */
+    /* When the node considers the leave stored in this era, the store contains it. */
     :: atomic { alive && acknowledged && !hasWrite && !hasAnswer && knownEra == era &&
                 stored == leaving && knownRevision != NONE ->
         assert(record == leaving) }
