--- a/spec/revision.pml
+++ b/spec/revision.pml
@@ -18,7 +18,7 @@
 #define NONE 15
 
 #ifndef ROUNDS
-#define ROUNDS 4      /* rounds of a read and a write that one operator causes at most */
+#define ROUNDS 4      /* rounds of an operator at most; a round is a read and a write */
 #endif
 
 /* The platform. Revision numbers stand for versions: there is one tenant. */
--- a/src/trials/fault-run.ts
+++ b/src/trials/fault-run.ts
@@ -79,7 +79,7 @@
 
   async run(fault: ScheduledFault): Promise<void> {
     await delay(fault.atMs);
-    const id = this.resolveSubject(fault);
+    const id = this.resolvePlace(fault);
     const line = `${fault.atMs} ms: ${id}: ${fault.kind.name} for ${fault.lastsMs} ms`;
     if (this.faulty.has(id)) {
       this.log.push(`${line} (skipped: has a fault already)`);
@@ -93,7 +93,7 @@
     this.faulty.delete(id);
   }
 
-  private resolveSubject({ kind, index }: ScheduledFault): string {
+  private resolvePlace({ kind, index }: ScheduledFault): string {
     const { nodes, targets } = this.deployment;
     switch (kind.place) {
       case 'node':
