--- a/test/soak/checks.test.ts
+++ b/test/soak/checks.test.ts
@@ -1,18 +1,18 @@
-/** Each promise of the soak has a ledger that breaks it and must be found, and only that one. */
+/** Checks that a ledger that breaks one guarantee is reported as breaking that one and no other. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { checkLedger, PROMISES, type Bounds } from './checks.js';
-import { createLedger, type Ledger, type SeenRequest, type SeenRun } from './ledger.js';
+import { checkLedger, GUARANTEES, type Bounds } from './checks.js';
+import { createLedger, type Ledger, type ObservedRequest, type ObservedRun } from './ledger.js';
 
 const BOUNDS: Bounds = {
-  contactMs: 3_000,
+  settlingMs: 3_000,
   gracePeriodMs: 6_000,
   lossSlackMs: 200,
   applyMs: 2_000,
   drainMs: 500,
 };
 
-const REQUEST: SeenRequest = {
+const REQUEST: ObservedRequest = {
   attemptId: 'a',
   method: 'POST',
   path: '/write/5',
@@ -21,12 +21,12 @@
   sentAt: 10_000,
   endedAt: 10_050,
   deadlineMs: 3_000,
-  behind: 0,
-  leftAt: undefined,
+  outstandingBefore: 0,
+  disconnectedAt: undefined,
   outcome: { type: 'answered', status: 200, body: 'answer to a' },
 };
 
-const RUN: SeenRun = {
+const RUN: ObservedRun = {
   attemptId: 'a',
   path: '/write/5',
   machine: 'node-2',
@@ -35,7 +35,7 @@
   startedAt: 10_010,
   timeLeftMs: 2_980,
   endedAt: 10_040,
-  brokenOff: false,
+  aborted: false,
 };
 
 const CLOSED = { type: 'closed', connected: true, reset: false, receivedBytes: 0 } as const;
@@ -44,16 +44,22 @@
 const KILL = { machine: 'node-1', kind: 'kill', from: 9_900, to: 12_000 } as const;
 const MOVED = { ...RUN, path: '/moved/5', service: 'ledger' };
 const MOVED_REQUEST = { ...REQUEST, method: 'GET', path: '/moved/5' };
-const LEFT = { ...REQUEST, method: 'GET', path: '/read/5', outcome: CLOSED, leftAt: 10_050 };
-const ENDING = {
+const DISCONNECTED = {
+  ...REQUEST,
+  method: 'GET',
+  path: '/read/5',
+  outcome: CLOSED,
+  disconnectedAt: 10_050,
+};
+const EXIT = {
   ...{ machine: 'node-1', at: 9_500, code: 0, signal: null },
   beforeStart: false,
 };
 
 type Parts = Partial<Ledger>;
 
-/** What breaks a promise. */
-const MUTANTS: readonly (readonly [promise: string, name: string, parts: Parts])[] = [
+/** Ledgers that break one guarantee each. */
+const VIOLATING_LEDGERS: readonly (readonly [guarantee: string, name: string, parts: Parts])[] = [
   [
     'answers are whole and the own ones',
     "another request's answer",
@@ -72,12 +78,12 @@
   ],
   [
     'planned work ends no request without an answer',
-    'held and closed, not run',
+    'read and closed, not run',
     { requests: [{ ...REQUEST, outcome: CLOSED, endedAt: 10_300 }] },
   ],
   [
     'planned work ends no request without an answer',
-    'taken late in the stop and cut at its end',
+    'accepted late in the stop and cut at its end',
     {
       requests: [{ ...REQUEST, outcome: CLOSED, sentAt: 12_500, endedAt: 14_300 }],
       runs: [{ ...RUN, startedAt: 12_510, endedAt: 14_300, timeLeftMs: 2_900 }],
@@ -119,76 +125,76 @@
   [
     'work whose caller has left ends',
     'work goes on',
-    { requests: [LEFT], runs: [{ ...RUN, endedAt: 12_000 }] },
+    { requests: [DISCONNECTED], runs: [{ ...RUN, endedAt: 12_000 }] },
   ],
   [
     'processes end only when told to, and in time',
-    'an end by itself',
-    { endings: [{ ...ENDING, code: 1, expected: false, overdue: false }] },
+    'an unexpected exit',
+    { exits: [{ ...EXIT, code: 1, expected: false, overdue: false }] },
   ],
   [
     'processes end only when told to, and in time',
-    'a reload that ends the program',
-    { endings: [{ ...ENDING, code: null, signal: 'SIGHUP', expected: false, overdue: false }] },
+    'a reload that terminates the program',
+    { exits: [{ ...EXIT, code: null, signal: 'SIGHUP', expected: false, overdue: false }] },
   ],
   [
     'processes end only when told to, and in time',
     'a failed stop',
-    { endings: [{ ...ENDING, code: 1, expected: true, overdue: false }] },
+    { exits: [{ ...EXIT, code: 1, expected: true, overdue: false }] },
   ],
   [
     'processes end only when told to, and in time',
-    'a stop that outlasts the grace period',
-    { endings: [{ ...ENDING, code: null, signal: 'SIGKILL', expected: true, overdue: true }] },
+    'a stop that takes longer than the grace period',
+    { exits: [{ ...EXIT, code: null, signal: 'SIGKILL', expected: true, overdue: true }] },
   ],
   ['no internal error', 'a line', { internalErrors: ['event 103'] }],
   ['nodes serve again after the last fault', 'one does not', { notRecovered: ['node-1'] }],
 ];
 
-for (const [promise, name, parts] of MUTANTS) {
-  test(`a soak finds: ${promise}: ${name}`, () => {
+for (const [guarantee, name, parts] of VIOLATING_LEDGERS) {
+  test(`a soak finds: ${guarantee}: ${name}`, () => {
     const violations = checkLedger({ ...createLedger(), ...parts }, BOUNDS);
     assert.deepEqual(
       violations.map((violation) => violation.promise),
-      [promise],
+      [guarantee],
     );
   });
 }
 
-test('every promise has a mutant', () => {
-  assert.deepEqual(new Set(MUTANTS.map(([promise]) => promise)), new Set(PROMISES));
+test('every guarantee has a ledger that breaks it', () => {
+  assert.deepEqual(new Set(VIOLATING_LEDGERS.map(([guarantee]) => guarantee)), new Set(GUARANTEES));
 });
 
-/** What is allowed. */
-const ALLOWED: readonly (readonly [name: string, parts: Parts])[] = [
+/** Ledgers that break no guarantee. */
+const ALLOWED_LEDGERS: readonly (readonly [name: string, parts: Parts])[] = [
   ['an answered request', { requests: [REQUEST], runs: [RUN] }],
   ['two runs of what may repeat', { runs: [MOVED, MOVED] }],
   ['a refusal that was run and may repeat', { requests: [{ ...MOVED_REQUEST, outcome: REFUSED }] }],
   [
     'a signal before the program runs',
     {
-      endings: [
-        ...[{ ...ENDING, code: null, signal: 'SIGHUP', expected: false, overdue: false }].map(
-          (ending) => ({ ...ending, beforeStart: true }),
+      exits: [
+        ...[{ ...EXIT, code: null, signal: 'SIGHUP', expected: false, overdue: false }].map(
+          (exit) => ({ ...exit, beforeStart: true }),
         ),
       ],
     },
   ],
   [
-    'no node there',
+    'no node that listens',
     { requests: [{ ...REQUEST, outcome: { ...CLOSED, connected: false }, endedAt: 11_000 }] },
   ],
   [
     'no node behind a relay',
     { requests: [{ ...REQUEST, outcome: CLOSED, relayed: true, endedAt: 11_000 }] },
   ],
-  ['closed unread and unrun', { requests: [{ ...REQUEST, outcome: CLOSED }] }],
+  ['closed before it was read or run', { requests: [{ ...REQUEST, outcome: CLOSED }] }],
   [
     'cut by a kill',
     { requests: [{ ...REQUEST, outcome: CLOSED }], runs: [RUN], disruptions: [{ ...KILL }] },
   ],
   [
-    'its target at work until the last part of the stop',
+    'run by its target until the last phase of the stop',
     {
       requests: [{ ...REQUEST, outcome: CLOSED, endedAt: 14_300, deadlineMs: 6_000 }],
       runs: [{ ...RUN, endedAt: 14_300 }],
@@ -196,7 +202,7 @@
     },
   ],
   [
-    'the old service while a change is new',
+    'the old service shortly after a change',
     {
       requests: [MOVED_REQUEST],
       runs: [MOVED],
@@ -214,14 +220,17 @@
       disruptions: [{ ...STOP, from: 1_000, to: 8_000 }],
     },
   ],
-  ['work that ends with its caller', { requests: [LEFT], runs: [{ ...RUN, endedAt: 10_400 }] }],
   [
-    'a planned end',
-    { endings: [{ ...ENDING, expected: true, overdue: false }], disruptions: [{ ...STOP }] },
+    'work that ends soon after its caller has disconnected',
+    { requests: [DISCONNECTED], runs: [{ ...RUN, endedAt: 10_400 }] },
+  ],
+  [
+    'a planned exit',
+    { exits: [{ ...EXIT, expected: true, overdue: false }], disruptions: [{ ...STOP }] },
   ],
 ];
 
-for (const [name, parts] of ALLOWED) {
+for (const [name, parts] of ALLOWED_LEDGERS) {
   test(`a soak allows: ${name}`, () => {
     assert.deepEqual(checkLedger({ ...createLedger(), ...parts }, BOUNDS), []);
   });
--- a/test/soak/checks.ts
+++ b/test/soak/checks.ts
@@ -1,38 +1,39 @@
-/** The promises that a soak run checks, over what callers, targets and operators saw. */
-import type { Disruption, Ledger, SeenRequest, SeenRun } from './ledger.js';
+/** The guarantees that a soak run checks against what callers, targets and operators observed. */
+import type { Disruption, Ledger, ObservedRequest, ObservedRun } from './ledger.js';
 
-/** A broken promise. */
+/** A broken guarantee. */
 export interface Violation {
+  /** Name of the guarantee; `run.json` has it under this key. */
   readonly promise: string;
   readonly detail: string;
 }
 
-/** Bounds of the promises, in milliseconds. */
+/** Bounds of the guarantees, in milliseconds. */
 export interface Bounds {
-  /** Time without disruption after which a machine's promises with a time hold again. */
-  readonly contactMs: number;
+  /** Time without disruptions after which a machine's timed guarantees hold again. */
+  readonly settlingMs: number;
   readonly gracePeriodMs: number;
-  /** Requests that the node had read end with it at most this long after their last byte. */
+  /** A connection that closes later than this after a request's last byte shows that the node had read it. */
   readonly lossSlackMs: number;
-  /** Time for a change of the rules to be in force. */
+  /** Time within which a change of the rules is in force. */
   readonly applyMs: number;
-  /** Time for a request under way to a target whose leave was acknowledged. */
+  /** Time within which requests may still reach a target after its leave was acknowledged. */
   readonly drainMs: number;
 }
 
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** A node may be told of a stop this long before requests have to be turned away. */
+/** After a stop signal a node has this much time until it has to refuse requests. */
 const FIRST_PHASE_MS = 3_000;
-/** In this last part of the grace period targets still at work excuse the cut of a request. */
-const LAST_PART = 1 / 6;
+/** A request may be cut when its target still runs it in this last share of the grace period. */
+const LAST_PHASE_SHARE = 1 / 6;
 const DEADLINE_SLACK_MS = 500;
-/** Time for a caller's leaving to reach the target, with room for this machine's own load. */
-const GONE_MS = 1_000;
+/** Time for a caller's disconnect to reach the target, with room for the load of this machine. */
+const CANCEL_PROPAGATION_MS = 1_000;
 const MOVING_PATH = '/moved/';
 
 type Check = (ledger: Ledger, bounds: Bounds) => Violation[];
 
-/** Every promise by its name. */
+/** The check of each guarantee, by name. */
 const CHECKS: Readonly<Record<string, Check>> = {
   'answers are whole and the own ones': checkWhole,
   'nothing that may not repeat runs twice': checkTwice,
@@ -42,35 +43,36 @@
   'nothing runs at a target whose leave was acknowledged': checkLeaves,
   'a change of the rules is in force in time': checkRules,
   'targets get no more time than is left': checkDeadlines,
-  'work whose caller has left ends': checkGone,
-  'processes end only when told to, and in time': checkEndings,
-  'no internal error': ({ internalErrors }) => internalErrors.map((detail) => violate(detail)),
-  'nodes serve again after the last fault': ({ notRecovered }) => notRecovered.map(violate),
+  'work whose caller has left ends': checkDisconnected,
+  'processes end only when told to, and in time': checkExits,
+  'no internal error': ({ internalErrors }) =>
+    internalErrors.map((detail) => createViolation(detail)),
+  'nodes serve again after the last fault': ({ notRecovered }) => notRecovered.map(createViolation),
 };
 
-/** Names of all promises. */
-export const PROMISES = Object.keys(CHECKS);
+/** Names of all guarantees. */
+export const GUARANTEES = Object.keys(CHECKS);
 
-/** Checks everything. */
+/** Checks all guarantees. */
 export function checkLedger(ledger: Ledger, bounds: Bounds): Violation[] {
-  return Object.entries(CHECKS).flatMap(([promise, check]) =>
-    check(ledger, bounds).map(({ detail }) => ({ promise, detail })),
+  return Object.entries(CHECKS).flatMap(([guarantee, check]) =>
+    check(ledger, bounds).map(({ detail }) => ({ promise: guarantee, detail })),
   );
 }
 
-function violate(detail: string): Violation {
+function createViolation(detail: string): Violation {
   return { promise: '', detail };
 }
 
-function describe(request: SeenRequest): string {
+function describe(request: ObservedRequest): string {
   const { method, path, attemptId, machine, sentAt, endedAt, outcome } = request;
   const end = outcome.type === 'answered' ? `status ${outcome.status}` : outcome.type;
   const times = `${Math.round(sentAt)}..${Math.round(endedAt)}`;
   return `${method} ${path} ${attemptId} at ${machine}, ${times}: ${end}`;
 }
 
-function runsOf({ runs }: Ledger): Map<string, SeenRun[]> {
-  const byAttempt = new Map<string, SeenRun[]>();
+function groupRunsByAttempt({ runs }: Ledger): Map<string, ObservedRun[]> {
+  const byAttempt = new Map<string, ObservedRun[]>();
   for (const run of runs) {
     const known = byAttempt.get(run.attemptId);
     if (known === undefined) byAttempt.set(run.attemptId, [run]);
@@ -79,13 +81,13 @@
   return byAttempt;
 }
 
-/** Whether something was done to a machine in a span or shortly before it. */
-function isDisturbed(
+/** Whether a machine was disrupted in a span or in `settlingMs` before it. */
+function wasDisrupted(
   { disruptions }: Ledger,
   machine: string,
   from: number,
   to: number,
-  contactMs: number,
+  settlingMs: number,
   kinds?: readonly Disruption['kind'][],
 ): boolean {
   return disruptions.some(
@@ -93,7 +95,7 @@
       disruption.machine === machine &&
       (kinds?.includes(disruption.kind) ?? true) &&
       disruption.from <= to &&
-      disruption.to >= from - contactMs,
+      disruption.to >= from - settlingMs,
   );
 }
 
@@ -103,78 +105,79 @@
       if (outcome.type !== 'answered' || outcome.status !== 200) return false;
       return outcome.body !== `answer to ${attemptId}`;
     })
-    .map((request) => violate(`${describe(request)} ${JSON.stringify(request.outcome)}`));
+    .map((request) => createViolation(`${describe(request)} ${JSON.stringify(request.outcome)}`));
 }
 
 function checkTwice(ledger: Ledger): Violation[] {
-  return [...runsOf(ledger).values()]
+  return [...groupRunsByAttempt(ledger).values()]
     .filter((runs) => runs.length > 1 && runs[0]!.path.startsWith('/write/'))
-    .map((runs) => violate(`${runs[0]!.attemptId} ran ${runs.length} times`));
+    .map((runs) => createViolation(`${runs[0]!.attemptId} ran ${runs.length} times`));
 }
 
 function checkRefused(ledger: Ledger): Violation[] {
-  const runs = runsOf(ledger);
+  const runs = groupRunsByAttempt(ledger);
   return ledger.requests
     .filter(({ outcome, path, attemptId }) => {
       if (outcome.type !== 'answered' || !NOT_RUN_STATUSES.has(outcome.status)) return false;
       return path.startsWith('/write/') && runs.has(attemptId);
     })
-    .map((request) => violate(describe(request)));
+    .map((request) => createViolation(describe(request)));
 }
 
-/** Faults that may end a caller's connection, or a node, without its doing. */
+/** Faults that may close a caller's connection, or end a node, from outside. */
 const UNPLANNED = ['kill', 'pause', 'callers'] as const;
-/** Faults that hold up what a node sends to its target. */
+/** Faults that delay what a node sends to its target. */
 const DELAYING = ['pause', 'target'] as const;
 
 function checkLost(ledger: Ledger, bounds: Bounds): Violation[] {
-  const runs = runsOf(ledger);
+  const runs = groupRunsByAttempt(ledger);
   return ledger.requests
     .filter((request) => isLost(ledger, bounds, request, runs.get(request.attemptId) ?? []))
-    .map((request) => violate(describe(request)));
+    .map((request) => createViolation(describe(request)));
 }
 
 function isLost(
   ledger: Ledger,
   bounds: Bounds,
-  request: SeenRequest,
-  runs: readonly SeenRun[],
+  request: ObservedRequest,
+  runs: readonly ObservedRun[],
 ): boolean {
-  const { outcome, machine, sentAt, endedAt, leftAt, deadlineMs } = request;
-  if (outcome.type === 'answered' || leftAt !== undefined) return false;
+  const { outcome, machine, sentAt, endedAt, disconnectedAt, deadlineMs } = request;
+  if (outcome.type === 'answered' || disconnectedAt !== undefined) return false;
   if (endedAt - sentAt >= deadlineMs) return false;
-  if (runs.length === 0 && !wasHeld(request, bounds)) return false;
-  if (isDisturbed(ledger, machine, sentAt, endedAt, bounds.contactMs, UNPLANNED)) return false;
+  if (runs.length === 0 && !wasReadBeforeCut(request, bounds)) return false;
+  if (wasDisrupted(ledger, machine, sentAt, endedAt, bounds.settlingMs, UNPLANNED)) return false;
   return !isExcusedByStop(ledger, bounds, request, runs);
 }
 
-/** Whether the node must have read a request that no target ran, and held it before it cut it. */
-function wasHeld(
-  { outcome, sentAt, endedAt, behind, relayed }: SeenRequest,
+/** Whether the node must have read a request that no target ran, before the connection closed. */
+function wasReadBeforeCut(
+  { outcome, sentAt, endedAt, outstandingBefore, relayed }: ObservedRequest,
   { lossSlackMs }: Bounds,
 ): boolean {
-  if (outcome.type !== 'closed' || !outcome.connected || relayed || behind > 0) return false;
+  if (outcome.type !== 'closed' || !outcome.connected || relayed || outstandingBefore > 0)
+    return false;
   return endedAt - sentAt > lossSlackMs;
 }
 
-/** A request of the first phase of a stop whose target worked until the end of the stop. */
+/** Whether a request came in the first phase of a stop and ran until its last phase. */
 function isExcusedByStop(
   { disruptions }: Ledger,
   { gracePeriodMs }: Bounds,
-  { machine, sentAt }: SeenRequest,
-  runs: readonly SeenRun[],
+  { machine, sentAt }: ObservedRequest,
+  runs: readonly ObservedRun[],
 ): boolean {
   return disruptions.some(({ kind, machine: stopped, from }) => {
     if (kind !== 'stop' || stopped !== machine || sentAt > from + FIRST_PHASE_MS) return false;
-    const lastPart = from + gracePeriodMs * (1 - LAST_PART);
-    return runs.some(({ endedAt }) => (endedAt ?? Infinity) >= lastPart);
+    const lastPhaseStart = from + gracePeriodMs * (1 - LAST_PHASE_SHARE);
+    return runs.some(({ endedAt }) => (endedAt ?? Infinity) >= lastPhaseStart);
   });
 }
 
 function checkKnown({ requests }: Ledger): Violation[] {
   return requests
     .filter(({ outcome }) => outcome.type === 'answered' && outcome.status === 404)
-    .map((request) => violate(describe(request)));
+    .map((request) => createViolation(describe(request)));
 }
 
 function checkLeaves({ leaves, runs }: Ledger, { drainMs }: Bounds): Violation[] {
@@ -187,24 +190,26 @@
           startedAt > leave.at + drainMs,
       ),
     )
-    .map(({ attemptId, targetId }) => violate(`${attemptId} at ${targetId}, which had left`));
+    .map(({ attemptId, targetId }) =>
+      createViolation(`${attemptId} at ${targetId}, which had left`),
+    );
 }
 
-function checkRules(ledger: Ledger, { applyMs, contactMs }: Bounds): Violation[] {
+function checkRules(ledger: Ledger, { applyMs, settlingMs }: Bounds): Violation[] {
   const byAttempt = new Map(ledger.requests.map((request) => [request.attemptId, request]));
   return ledger.runs
     .filter(({ attemptId, path, service }) => {
       const request = byAttempt.get(attemptId);
       if (!path.startsWith(MOVING_PATH) || request === undefined) return false;
       const { machine, sentAt, endedAt } = request;
-      if (isDisturbed(ledger, machine, sentAt - applyMs, endedAt, contactMs)) return false;
-      return !allowedServices(ledger, sentAt, endedAt, applyMs).has(service);
+      if (wasDisrupted(ledger, machine, sentAt - applyMs, endedAt, settlingMs)) return false;
+      return !findAllowedServices(ledger, sentAt, endedAt, applyMs).has(service);
     })
-    .map(({ attemptId, service }) => violate(`${attemptId} ran at ${service}`));
+    .map(({ attemptId, service }) => createViolation(`${attemptId} ran at ${service}`));
 }
 
-/** Services to which the moving route may lead a request of this span. */
-function allowedServices(
+/** Services to which the moving route may send a request of this span. */
+function findAllowedServices(
   { rules }: Ledger,
   sentAt: number,
   endedAt: number,
@@ -216,51 +221,57 @@
 }
 
 /**
- * No node can know how long a request is on its way to it or to its target, so requests over links
- * that were delayed at either end are left out; so are those to a node that has just started, which
- * wait until it first reads.
+ * Leaves out requests over links that were delayed at either end, since a node can't know how long a
+ * request travels to it or to its target. Also leaves out requests to a node that has just started,
+ * which wait until its first read.
  */
-function checkDeadlines(ledger: Ledger, { contactMs }: Bounds): Violation[] {
+function checkDeadlines(ledger: Ledger, { settlingMs }: Bounds): Violation[] {
   const byAttempt = new Map(ledger.requests.map((request) => [request.attemptId, request]));
   return ledger.runs
     .filter(({ attemptId, timeLeftMs, startedAt, machine: target }) => {
       const request = byAttempt.get(attemptId);
       if (request === undefined) return false;
       const { machine, sentAt, endedAt } = request;
-      if (isDisturbed(ledger, machine, sentAt, endedAt, contactMs)) return false;
-      if (isDisturbed(ledger, target, sentAt, endedAt, contactMs, DELAYING)) return false;
+      if (wasDisrupted(ledger, machine, sentAt, endedAt, settlingMs)) return false;
+      if (wasDisrupted(ledger, target, sentAt, endedAt, settlingMs, DELAYING)) return false;
       const end = request.sentAt + request.deadlineMs + DEADLINE_SLACK_MS;
       return timeLeftMs === undefined || startedAt + timeLeftMs > end;
     })
-    .map(({ attemptId, timeLeftMs }) => violate(`${attemptId} was given ${timeLeftMs} ms`));
+    .map(({ attemptId, timeLeftMs }) => createViolation(`${attemptId} was given ${timeLeftMs} ms`));
 }
 
-function checkGone(ledger: Ledger, { contactMs }: Bounds): Violation[] {
-  const runs = runsOf(ledger);
+function checkDisconnected(ledger: Ledger, { settlingMs }: Bounds): Violation[] {
+  const runs = groupRunsByAttempt(ledger);
   return ledger.requests
-    .filter(({ leftAt, machine, attemptId, path }) => {
-      if (leftAt === undefined || path.startsWith('/write/')) return false;
+    .filter(({ disconnectedAt, machine, attemptId, path }) => {
+      if (disconnectedAt === undefined || path.startsWith('/write/')) return false;
       return (runs.get(attemptId) ?? []).some((run) => {
-        const end = Math.min(run.endedAt ?? Infinity, leftAt + GONE_MS + 1);
-        if (end <= leftAt + GONE_MS) return false;
+        const end = Math.min(run.endedAt ?? Infinity, disconnectedAt + CANCEL_PROPAGATION_MS + 1);
+        if (end <= disconnectedAt + CANCEL_PROPAGATION_MS) return false;
         return ![machine, run.machine].some((one) =>
-          isDisturbed(ledger, one, leftAt, leftAt + GONE_MS, contactMs),
+          wasDisrupted(
+            ledger,
+            one,
+            disconnectedAt,
+            disconnectedAt + CANCEL_PROPAGATION_MS,
+            settlingMs,
+          ),
         );
       });
     })
-    .map((request) => violate(describe(request)));
+    .map((request) => createViolation(describe(request)));
 }
 
-function checkEndings(ledger: Ledger, { contactMs, gracePeriodMs }: Bounds): Violation[] {
-  return ledger.endings
+function checkExits(ledger: Ledger, { settlingMs, gracePeriodMs }: Bounds): Violation[] {
+  return ledger.exits
     .filter(({ expected, beforeStart, overdue, code, signal, machine, at }) => {
-      // Until the first line of the program runs, the system's default for SIGHUP holds.
+      // Until the first line of the program runs, SIGHUP has the system's default action.
       if (!expected) return !(beforeStart && signal === 'SIGHUP');
       if (!overdue) return signal === null && code !== 0;
-      return !isDisturbed(ledger, machine, at - gracePeriodMs, at, contactMs, ['pause']);
+      return !wasDisrupted(ledger, machine, at - gracePeriodMs, at, settlingMs, ['pause']);
     })
     .map(({ machine, code, signal, at, overdue }) => {
       const how = overdue ? 'was overdue' : `ended with ${code ?? signal}`;
-      return violate(`${machine} ${how} at ${Math.round(at)}`);
+      return createViolation(`${machine} ${how} at ${Math.round(at)}`);
     });
 }
--- a/test/soak/failed-seeds.ts
+++ b/test/soak/failed-seeds.ts
@@ -1,9 +1,9 @@
 /**
- * Seeds of long runs that failed once, newest first, with what was found. They are never changed;
- * `scripts/soak failed` runs all of them, and every check of a change the newest.
+ * Seeds of long runs that have failed, newest first, with the cause. They are never changed;
+ * `scripts/soak failed` runs all of them, and the tests run the newest.
  */
 
-/** What a long run is made from, beside its seed. */
+/** Options of a long run, except its seed. */
 export const LONG_RUN = { machines: 6, callersPerMachine: 4, lengthMs: 15_000 };
 
 /** A seed and the cause of its failure. */
@@ -12,27 +12,26 @@
   readonly cause: string;
 }
 
-/** See the module comment. */
 export const FAILED_SEEDS: readonly FailedSeed[] = [
   {
     seed: 231,
     cause:
-      'the relay let bytes pass those that it still delayed when its delay ended, so that requests ' +
-      'behind one another reached the node in another order',
+      'when its delay ended, the relay sent new bytes ahead of those that it still delayed, so that ' +
+      'pipelined requests reached the node in another order',
   },
   {
     seed: 73,
     cause:
-      'the caller counted its own wait of 100 ms after the end of a connection as time that the ' +
-      'node had held a request, and a node that had just started read requests late',
+      'the caller counted its own wait of 100 ms after a connection closed as time that the node ' +
+      'had held a request, and a node that had just started read requests late',
   },
-  { seed: 12, cause: 'a target came back under the identity of the incarnation that had left' },
-  { seed: 11, cause: 'a request to a dead node behind a relay was taken for one that was held' },
+  { seed: 12, cause: 'a target restarted with the id of the incarnation that had left' },
+  { seed: 11, cause: 'a request to a crashed node behind a relay was counted as read by the node' },
   {
     seed: 9,
-    cause: 'SIGHUP before the first line of the program ran, and nobody started it again',
+    cause: 'SIGHUP ended the program before its first line ran, and nothing restarted it',
   },
-  { seed: 6, cause: 'time on a delayed link counted as time that the node could know' },
-  { seed: 5, cause: 'time on a delayed link counted as time that the node could know' },
-  { seed: 1, cause: 'time on a delayed link counted as time that the node could know' },
+  { seed: 6, cause: 'time on a delayed link was counted as time that the node could know of' },
+  { seed: 5, cause: 'time on a delayed link was counted as time that the node could know of' },
+  { seed: 1, cause: 'time on a delayed link was counted as time that the node could know of' },
 ];
--- a/test/soak/ledger.ts
+++ b/test/soak/ledger.ts
@@ -1,39 +1,39 @@
 /**
- * What callers, targets and operators saw in a soak run. All times are those of the monotonic clock
- * of the process that drives the run, in milliseconds.
+ * Records what callers, targets and operators observe in a soak run. All times are of the monotonic
+ * clock of the process that drives the run, in milliseconds.
  */
 import type { CallerRecord } from '../support/raw-caller.js';
 
-/** A request as its caller saw it. */
-export interface SeenRequest extends CallerRecord {
-  /** Machine that took it. */
+/** A request as its caller observed it. */
+export interface ObservedRequest extends CallerRecord {
+  /** Machine to whose node it was sent. */
   readonly machine: string;
-  /** Whether it was sent over a relay, so that its caller can't know whether the node was there. */
+  /** Whether it was sent over a relay, so that its caller can't know whether the node was running. */
   readonly relayed: boolean;
   readonly deadlineMs: number;
   /** Requests that were unanswered on its connection when it was sent. */
-  readonly behind: number;
-  /** When the caller went away by itself; undefined: it did not. */
-  readonly leftAt: number | undefined;
+  readonly outstandingBefore: number;
+  /** When the caller closed the connection before an answer; undefined: it did not. */
+  readonly disconnectedAt: number | undefined;
 }
 
 /** A run of a request at a target. */
-export interface SeenRun {
+export interface ObservedRun {
   readonly attemptId: string;
   readonly path: string;
   readonly machine: string;
   readonly service: string;
   readonly targetId: string;
   readonly startedAt: number;
-  /** Time left that the target was told; undefined: none. */
+  /** Time left by the deadline field that the target received; undefined: no field. */
   readonly timeLeftMs: number | undefined;
-  /** When it was answered or broken off; undefined: not before the end of the run. */
+  /** When it was answered or aborted; undefined: not before the end of the soak run. */
   endedAt: number | undefined;
-  /** Whether its connection ended before its answer. */
-  brokenOff: boolean;
+  /** Whether its connection closed before its answer was written. */
+  aborted: boolean;
 }
 
-/** A time in which something was done to a machine. */
+/** A span in which a machine was disrupted. */
 export interface Disruption {
   readonly machine: string;
   readonly kind: 'stop' | 'kill' | 'pause' | 'callers' | 'target' | 'store';
@@ -42,17 +42,17 @@
   to: number;
 }
 
-/** The end of a node's process. */
-export interface ProcessEnding {
+/** The exit of a node's process. */
+export interface ProcessExit {
   readonly machine: string;
   readonly at: number;
   readonly code: number | null;
   readonly signal: string | null;
-  /** Whether the run had told it to end. */
+  /** Whether the soak run had stopped or killed it. */
   readonly expected: boolean;
-  /** Whether the process had not begun to run the program: it has written nothing. */
+  /** Whether the process had not begun to run the program, as it has written no output. */
   readonly beforeStart: boolean;
-  /** Whether a planned stop had outlasted the grace period, so that it was killed. */
+  /** Whether it was killed because a planned stop took longer than the grace period. */
   readonly overdue: boolean;
 }
 
@@ -63,18 +63,18 @@
   readonly at: number;
 }
 
-/** A version of the rules: the service to which the moving route led, from when it was written. */
+/** A version of the rules: when it was written, and the service of the moving route. */
 export interface RulesChange {
   readonly at: number;
   readonly movedTo: string;
 }
 
-/** Everything that was seen. */
+/** Everything that was observed. */
 export interface Ledger {
-  readonly requests: SeenRequest[];
-  readonly runs: SeenRun[];
+  readonly requests: ObservedRequest[];
+  readonly runs: ObservedRun[];
   readonly disruptions: Disruption[];
-  readonly endings: ProcessEnding[];
+  readonly exits: ProcessExit[];
   readonly leaves: AcknowledgedLeave[];
   readonly rules: RulesChange[];
   /** Log lines of internal errors. */
@@ -83,13 +83,13 @@
   readonly notRecovered: string[];
 }
 
-/** An empty ledger. */
+/** Creates an empty ledger. */
 export function createLedger(): Ledger {
   return {
     requests: [],
     runs: [],
     disruptions: [],
-    endings: [],
+    exits: [],
     leaves: [],
     rules: [],
     internalErrors: [],
--- a/test/soak/schedule.ts
+++ b/test/soak/schedule.ts
@@ -2,7 +2,7 @@
 import { hash32 } from '../../src/core/hash.js';
 import { createRandom, type Random } from '../../src/core/random.js';
 
-/** What can be done to a machine or to the store. */
+/** Kinds of actions on a machine or on the store. */
 export const ACTION_KINDS = [
   'stop',
   'kill',
@@ -22,10 +22,10 @@
   'store-link-silent',
 ] as const;
 
-/** Drills, which runs have when they ask for them; seeds without them keep their schedules. */
+/** Kinds of drills, in runs with drills only; the schedules of other runs do not depend on them. */
 export const DRILL_KINDS = ['store-older'] as const;
 
-/** See {@link ACTION_KINDS} and {@link DRILL_KINDS}. */
+/** Kind of an action or a drill. */
 export type ActionKind = (typeof ACTION_KINDS)[number] | (typeof DRILL_KINDS)[number];
 
 /** One action; times in milliseconds. */
@@ -33,34 +33,34 @@
   /** From the start of the traffic. */
   readonly at: number;
   readonly kind: ActionKind;
-  /** Index of the machine; without meaning for actions on the store. */
+  /** Index of the machine; not used by actions on the store. */
   readonly machine: number;
-  /** How long a fault lasts, or how long a stopped node stays away. */
+  /** How long a fault lasts, or how long a stopped node stays down. */
   readonly forMs: number;
   /** How often signals or changes are repeated, and the pause between them. */
   readonly times: number;
   readonly gapMs: number;
 }
 
-/** Planned work stands more than once, so that it overlaps with itself. */
-const WEIGHTED_KINDS: readonly ActionKind[] = [
+/** Planned work is listed more than once, so that it overlaps with itself. */
+const WEIGHTED_ACTION_KINDS: readonly ActionKind[] = [
   ...ACTION_KINDS,
   ...(['stop', 'stop', 'stop', 'stop', 'reload', 'rules', 'rules', 'leave'] as const),
 ];
-/** A drill stands for a seventh of all actions. */
-const WEIGHTED_DRILLS: readonly ActionKind[] = Array.from({ length: 4 }, () => 'store-older');
+/** Drills are a seventh of all actions. */
+const WEIGHTED_DRILL_KINDS: readonly ActionKind[] = Array.from({ length: 4 }, () => 'store-older');
 const MAX_FAULT_MS = 2_500;
 const MAX_TIMES = 4;
 const MAX_GAP_MS = 700;
-/** Mean pause between two actions. */
+/** Mean pause between two actions, in milliseconds. */
 const MEAN_PAUSE_MS = 700;
 
 /**
- * Draws a schedule.
+ * Creates the schedule of a seed.
  *
- * @param machines how many there are
+ * @param machines number of machines
  * @param lengthMs time in which actions begin
- * @param drills whether there are drills beside the faults
+ * @param drills whether to include drills
  */
 export function createSchedule(
   seed: number,
@@ -68,7 +68,9 @@
   lengthMs: number,
   drills = false,
 ): Action[] {
-  const kinds = drills ? [...WEIGHTED_KINDS, ...WEIGHTED_DRILLS] : WEIGHTED_KINDS;
+  const kinds = drills
+    ? [...WEIGHTED_ACTION_KINDS, ...WEIGHTED_DRILL_KINDS]
+    : WEIGHTED_ACTION_KINDS;
   const random = createRandom(hash32(`soak ${seed}`));
   const actions: Action[] = [];
   for (let at = nextPause(random); at < lengthMs; at += nextPause(random)) {
--- a/test/soak/soak-callers.ts
+++ b/test/soak/soak-callers.ts
@@ -1,4 +1,4 @@
-/** Callers of a soak run: each uses a connection until it is gone, then makes another. */
+/** Callers of a soak run: each uses a connection until it has closed, then opens another. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { hash32 } from '../../src/core/hash.js';
 import { createRandom, type Random } from '../../src/core/random.js';
@@ -9,11 +9,11 @@
 const DEADLINE_MS = 3_000;
 const MAX_PAUSE_MS = 80;
 const MAX_RECONNECT_MS = 200;
-const MAX_BEHIND = 3;
-/** Shares of what callers do, each of all their steps. */
+const MAX_PIPELINED = 3;
+/** Shares of a caller's steps. */
 const SHARE_PIPELINED = 0.15;
-const SHARE_LEAVING = 0.04;
-/** Shares of the routes. */
+const SHARE_DISCONNECTING = 0.04;
+/** Shares of the routes; the rest is `/read/`. */
 const SHARE_WRITE = 0.35;
 const SHARE_MOVED = 0.2;
 const SHARE_CHAIN = 0.1;
@@ -22,7 +22,7 @@
 const MAX_WORK_MS = 120;
 const MAX_LONG_WORK_MS = 1_800;
 
-/** One caller; it ends when told to and its last request has ended. */
+/** One caller; after `stop` it ends with its last request. */
 export class SoakCaller {
   private readonly random: Random;
   private stopped = false;
@@ -33,7 +33,7 @@
     seed: number,
     private readonly machine: ProcessMachine,
     private readonly ledger: Ledger,
-    /** Whether it reaches the node over the relay, and so meets its faults. */
+    /** Whether it connects over the relay, and so is subject to the relay's faults. */
     private readonly relayed: boolean,
   ) {
     this.random = createRandom(hash32(`caller ${seed} ${name}`));
@@ -55,28 +55,31 @@
 
   private async step(connection: RawCaller): Promise<void> {
     const dice = this.random.next();
-    if (dice < SHARE_PIPELINED) await this.sendBehind(connection);
-    else if (dice < SHARE_PIPELINED + SHARE_LEAVING) await this.sendAndLeave(connection);
-    else this.note(await connection.send(this.draw()), 0);
+    if (dice < SHARE_PIPELINED) await this.sendPipelined(connection);
+    else if (dice < SHARE_PIPELINED + SHARE_DISCONNECTING) await this.sendAndDisconnect(connection);
+    else this.addToLedger(await connection.send(this.drawRequest()), 0);
     await sleep(this.random.nextInt(MAX_PAUSE_MS));
   }
 
-  /** Some repeatable requests, sent before the first is answered. */
-  private async sendBehind(connection: RawCaller): Promise<void> {
-    const count = 2 + this.random.nextInt(MAX_BEHIND - 1);
-    const records = Array.from({ length: count }, () => connection.send(this.draw('/read/')));
-    for (const [index, record] of (await Promise.all(records)).entries()) this.note(record, index);
+  /** Sends some idempotent requests before the first is answered. */
+  private async sendPipelined(connection: RawCaller): Promise<void> {
+    const count = 2 + this.random.nextInt(MAX_PIPELINED - 1);
+    const records = Array.from({ length: count }, () =>
+      connection.send(this.drawRequest('/read/')),
+    );
+    for (const [index, record] of (await Promise.all(records)).entries())
+      this.addToLedger(record, index);
   }
 
-  private async sendAndLeave(connection: RawCaller): Promise<void> {
-    const record = connection.send(this.draw('/read/'));
+  private async sendAndDisconnect(connection: RawCaller): Promise<void> {
+    const record = connection.send(this.drawRequest('/read/'));
     await sleep(this.random.nextInt(MAX_WORK_MS));
-    const leftAt = performance.now();
+    const disconnectedAt = performance.now();
     connection.close();
-    this.note(await record, 0, leftAt);
+    this.addToLedger(await record, 0, disconnectedAt);
   }
 
-  private draw(route = this.drawRoute()): RawRequest {
+  private drawRequest(route = this.drawRoute()): RawRequest {
     this.count += 1;
     const isLong = this.random.next() < SHARE_LONG_WORK;
     const workMs = this.random.nextInt(isLong ? MAX_LONG_WORK_MS : MAX_WORK_MS);
@@ -96,14 +99,23 @@
     return dice < SHARE_WRITE + SHARE_MOVED + SHARE_CHAIN ? '/chain/' : '/read/';
   }
 
-  private note(record: CallerRecord, behind: number, leftAt?: number): void {
+  private addToLedger(
+    record: CallerRecord,
+    outstandingBefore: number,
+    disconnectedAt?: number,
+  ): void {
     const machine = this.machine.id;
     const wasAnswered = record.outcome.type === 'answered';
-    const left = wasAnswered ? undefined : leftAt;
+    const disconnectedBeforeAnswerAt = wasAnswered ? undefined : disconnectedAt;
     this.ledger.requests.push({
       ...record,
       relayed: this.relayed,
-      ...{ machine, behind, deadlineMs: DEADLINE_MS, leftAt: left },
+      ...{
+        machine,
+        outstandingBefore,
+        deadlineMs: DEADLINE_MS,
+        disconnectedAt: disconnectedBeforeAnswerAt,
+      },
     });
   }
 }
--- a/test/soak/soak-faults.ts
+++ b/test/soak/soak-faults.ts
@@ -1,4 +1,4 @@
-/** Does to a deployment what a schedule says, and notes in the ledger what was done and when. */
+/** Performs a schedule's actions on a deployment, and records them in the ledger. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { NO_LINK_FAULTS, type Link } from '../../src/stand-ins/link/start-link.js';
 import type { RouteOptions } from '../../platform/stand-ins/rules-document.js';
@@ -8,24 +8,23 @@
 import type { Action } from './schedule.js';
 
 const MOVING_SERVICES = ['ledger', 'archive'] as const;
-/** Time in which a node that was started again has to be ready, in milliseconds. */
+/** Time within which a restarted node has to be ready, in milliseconds. */
 const READY_WITHIN_MS = 15_000;
 const READY_CHECK_MS = 100;
-/** Pause before a process that ended by itself is started again. */
-const OWN_END_PAUSE_MS = 300;
+/** Pause before a process that exited by itself is restarted, in milliseconds. */
+const UNEXPECTED_EXIT_PAUSE_MS = 300;
 
-/** See the module comment. */
 export class SoakFaults {
   private version = 0;
-  /** Incarnations of targets that have come back, after those they began with. */
+  /** Number of the newest target incarnation; all targets begin with incarnation 1. */
   private incarnations = 1;
-  /** Machines whose process is being stopped or is away. */
-  private readonly away = new Set<ProcessMachine>();
+  /** Machines whose process is stopping or not running. */
+  private readonly down = new Set<ProcessMachine>();
   private readonly leaving = new Set<ProcessMachine>();
-  /** Machines whose process was killed, since its stop took longer than the grace period. */
+  /** Machines whose process was killed because its stop took longer than the grace period. */
   private readonly overdue = new Set<ProcessMachine>();
   private isOver = false;
-  private isReturning = false;
+  private isRestoringStore = false;
 
   constructor(
     private readonly mesh: ProcessMesh,
@@ -33,18 +32,18 @@
     private readonly bounds: Bounds,
   ) {}
 
-  /** Performs a schedule; resolves when its last action has ended. */
+  /** Performs a schedule; resolves when all its actions have ended. */
   async perform(actions: readonly Action[]): Promise<void> {
     const startedAt = performance.now();
-    const under: Promise<void>[] = [];
+    const pending: Promise<void>[] = [];
     for (const action of actions) {
       await sleep(Math.max(0, startedAt + action.at - performance.now()));
-      under.push(this.act(action));
+      pending.push(this.performAction(action));
     }
-    await Promise.all(under);
+    await Promise.all(pending);
   }
 
-  /** Each version leads the moving route to the other service. */
+  /** Writes a new version of the rules, which sends the moving route to the other service. */
   changeRules(): void {
     this.version += 1;
     const movedTo = MOVING_SERVICES[this.version % MOVING_SERVICES.length]!;
@@ -58,31 +57,37 @@
     this.ledger.rules.push({ at: performance.now(), movedTo });
   }
 
-  /** Notes the end of a machine's process, and starts it again when it ended by itself. */
+  /** Records the exit of a machine's process, and restarts it when it exited by itself. */
   watchProcess(machine: ProcessMachine): void {
     const { process: node } = machine;
     void node.ended.then(({ code, signal }) => {
-      const expected = this.away.has(machine) || this.isOver;
+      const expected = this.down.has(machine) || this.isOver;
       const at = performance.now();
       const overdue = this.overdue.delete(machine);
       if (this.isOver) return;
       const beforeStart = !machine.hasSpoken;
-      const ending = { machine: machine.id, at, code, signal, expected, beforeStart, overdue };
-      this.ledger.endings.push(ending);
+      const exit = { machine: machine.id, at, code, signal, expected, beforeStart, overdue };
+      this.ledger.exits.push(exit);
       if (expected) return;
-      // As the platform does: a process that ends by itself is started again.
-      const disruption = this.disrupt(machine, 'kill');
-      this.away.add(machine);
-      void this.startAgain(machine, OWN_END_PAUSE_MS, disruption);
+      // As on the platform, a process that exits by itself is restarted.
+      const disruption = this.recordDisruption(machine, 'kill');
+      this.down.add(machine);
+      void this.restart(machine, UNEXPECTED_EXIT_PAUSE_MS, disruption);
     });
   }
 
-  /** Ends of processes count no more. */
-  end(): void {
+  /** Stops recording exits of processes. */
+  stopRecording(): void {
     this.isOver = true;
   }
 
-  private async act({ kind, machine: index, forMs, times, gapMs }: Action): Promise<void> {
+  private async performAction({
+    kind,
+    machine: index,
+    forMs,
+    times,
+    gapMs,
+  }: Action): Promise<void> {
     const machine = this.mesh.machines[index]!;
     const { links } = machine;
     const { faults } = this.mesh.store;
@@ -100,41 +105,41 @@
       case 'leave':
         return await this.leave(machine, forMs);
       case 'store-silent':
-        return await this.disturbStore(
+        return await this.disruptStore(
           () => (faults.silent = true),
           () => (faults.silent = false),
           forMs,
         );
       case 'store-refuses':
-        return await this.disturbStore(
+        return await this.disruptStore(
           () => (faults.refuseWith = 503),
           () => (faults.refuseWith = 0),
           forMs,
         );
       case 'store-loses-answers':
-        return await this.disturbStore(
+        return await this.disruptStore(
           () => (faults.loseWriteAnswers = true),
           () => (faults.loseWriteAnswers = false),
           forMs,
         );
       case 'store-compacts':
-        return await this.disturbStore(
+        return await this.disruptStore(
           () => this.mesh.store.compact(),
           () => {},
           0,
         );
       case 'leases-end':
-        return await this.disturbStore(
+        return await this.disruptStore(
           () => this.mesh.store.endAllLeases(),
           () => {},
           0,
         );
       case 'store-older':
-        return await this.returnOlder(forMs, gapMs);
+        return await this.restoreOlderStore(forMs, gapMs);
       case 'callers-cut':
-        return await this.disturbLink(machine, 'callers', links!.callers, { cut: true }, forMs);
+        return await this.disruptLink(machine, 'callers', links!.callers, { cut: true }, forMs);
       case 'callers-delayed':
-        return await this.disturbLink(
+        return await this.disruptLink(
           machine,
           'callers',
           links!.callers,
@@ -142,11 +147,11 @@
           forMs,
         );
       case 'target-delayed':
-        return await this.disturbLink(machine, 'target', links!.target, { delayMs: gapMs }, forMs);
+        return await this.disruptLink(machine, 'target', links!.target, { delayMs: gapMs }, forMs);
       case 'store-link-cut':
-        return await this.disturbLink(machine, 'store', links!.store, { cut: true }, forMs);
+        return await this.disruptLink(machine, 'store', links!.store, { cut: true }, forMs);
       case 'store-link-silent':
-        return await this.disturbLink(
+        return await this.disruptLink(
           machine,
           'store',
           links!.store,
@@ -156,21 +161,21 @@
     }
   }
 
-  /** Stop signals in a series; after the end of the process, or the grace period, a new one. */
+  /** Sends a series of stop signals and restarts the node; kills it when the grace period is over. */
   private async stopNode(
     machine: ProcessMachine,
     times: number,
     gapMs: number,
-    awayMs: number,
+    downMs: number,
   ): Promise<void> {
     const { process: node } = machine;
-    if (this.away.has(machine)) {
-      // The series meets a stop that is under way.
+    if (this.down.has(machine)) {
+      // The signals arrive during a stop that is in progress.
       await repeat(times, gapMs, () => node.signal('SIGTERM'));
       return;
     }
-    this.away.add(machine);
-    const disruption = this.disrupt(machine, 'stop');
+    this.down.add(machine);
+    const disruption = this.recordDisruption(machine, 'stop');
     const timer = setTimeout(() => {
       this.overdue.add(machine);
       node.signal('SIGKILL');
@@ -178,26 +183,26 @@
     await repeat(times, gapMs, () => node.signal('SIGTERM'));
     await node.ended;
     clearTimeout(timer);
-    await this.startAgain(machine, awayMs, disruption);
+    await this.restart(machine, downMs, disruption);
   }
 
-  private async killNode(machine: ProcessMachine, awayMs: number): Promise<void> {
-    if (this.away.has(machine) || this.isOver) return;
-    this.away.add(machine);
-    const disruption = this.disrupt(machine, 'kill');
+  private async killNode(machine: ProcessMachine, downMs: number): Promise<void> {
+    if (this.down.has(machine) || this.isOver) return;
+    this.down.add(machine);
+    const disruption = this.recordDisruption(machine, 'kill');
     const { process: node } = machine;
     node.signal('SIGKILL');
     await node.ended;
-    await this.startAgain(machine, awayMs, disruption);
+    await this.restart(machine, downMs, disruption);
   }
 
-  private async startAgain(
+  private async restart(
     machine: ProcessMachine,
-    awayMs: number,
+    downMs: number,
     disruption: Disruption,
   ): Promise<void> {
-    await sleep(awayMs);
-    this.away.delete(machine);
+    await sleep(downMs);
+    this.down.delete(machine);
     machine.start();
     this.watchProcess(machine);
     await this.waitReady(machine);
@@ -205,7 +210,7 @@
   }
 
   private async pauseNode(machine: ProcessMachine, forMs: number): Promise<void> {
-    const disruption = this.disrupt(machine, 'pause');
+    const disruption = this.recordDisruption(machine, 'pause');
     const { process: node } = machine;
     node.signal('SIGSTOP');
     await sleep(forMs);
@@ -213,7 +218,7 @@
     disruption.to = performance.now();
   }
 
-  /** The target leaves; its next incarnation registers at the same address. */
+  /** Makes a target leave; its next incarnation registers at the same address. */
   private async leave(machine: ProcessMachine, forMs: number): Promise<void> {
     if (this.leaving.has(machine)) return;
     this.leaving.add(machine);
@@ -229,44 +234,46 @@
     this.leaving.delete(machine);
   }
 
-  /** The store is away for a moment and comes back from a copy; one return at a time. */
-  private async returnOlder(ageMs: number, awayMs: number): Promise<void> {
-    if (this.isReturning) return;
-    this.isReturning = true;
+  /** Makes the store unavailable for a moment and restores it from a copy; one restore at a time. */
+  private async restoreOlderStore(ageMs: number, outageMs: number): Promise<void> {
+    if (this.isRestoringStore) return;
+    this.isRestoringStore = true;
     const { store } = this.mesh;
     const copy = store.copy();
     await sleep(ageMs);
-    await this.disturbStore(
+    await this.disruptStore(
       () => store.goAway(),
       () => store.comeBackFrom(copy),
-      awayMs,
+      outageMs,
     );
-    this.isReturning = false;
+    this.isRestoringStore = false;
   }
 
-  private async disturbStore(begin: () => void, end: () => void, forMs: number): Promise<void> {
-    const disruptions = this.mesh.machines.map((machine) => this.disrupt(machine, 'store'));
+  private async disruptStore(begin: () => void, end: () => void, forMs: number): Promise<void> {
+    const disruptions = this.mesh.machines.map((machine) =>
+      this.recordDisruption(machine, 'store'),
+    );
     begin();
     await sleep(forMs);
     end();
     for (const disruption of disruptions) disruption.to = performance.now();
   }
 
-  private async disturbLink(
+  private async disruptLink(
     machine: ProcessMachine,
     kind: 'callers' | 'target' | 'store',
     link: Link,
     faults: Parameters<Link['control']>[0],
     forMs: number,
   ): Promise<void> {
-    const disruption = this.disrupt(machine, kind);
+    const disruption = this.recordDisruption(machine, kind);
     link.control(faults);
     await sleep(forMs);
     link.control(NO_LINK_FAULTS);
     disruption.to = performance.now();
   }
 
-  private disrupt({ id }: ProcessMachine, kind: Disruption['kind']): Disruption {
+  private recordDisruption({ id }: ProcessMachine, kind: Disruption['kind']): Disruption {
     const disruption: Disruption = { machine: id, kind, from: performance.now(), to: Infinity };
     this.ledger.disruptions.push(disruption);
     return disruption;
--- a/test/soak/soak-main.ts
+++ b/test/soak/soak-main.ts
@@ -1,28 +1,31 @@
 /**
- * Runs soak seeds: `node dist/test/soak/soak-main.js [first seed] [seeds] [side by side] [machines]`,
- * or those that failed once: `... failed`; with drills: `... drills [first seed] ...`.
- * Logs and schedules of failed seeds stay in `soak-failures/`; the exit code is 1 when any failed.
+ * Runs soak seeds. Logs and schedules of failed seeds are kept in `soak-failures/`; the exit code is 1
+ * when any seed failed.
+ *
+ *   node dist/test/soak/soak-main.js [first seed] [seeds] [concurrent runs] [machines]
+ *   node dist/test/soak/soak-main.js drills [first seed] ...    the same with drills
+ *   node dist/test/soak/soak-main.js failed                     the seeds in failed-seeds.ts
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { FAILED_SEEDS, LONG_RUN } from './failed-seeds.js';
 import { runSoak, type SoakResult } from './soak-run.js';
 
-const FAILURES = 'soak-failures';
+const FAILURES_DIRECTORY = 'soak-failures';
 
-const isOfFailed = process.argv[2] === 'failed';
+const runsFailedSeeds = process.argv[2] === 'failed';
 const drills = process.argv[2] === 'drills';
-const [first = 1, count = 1, sideBySide = 1, machines = LONG_RUN.machines] = isOfFailed
+const [first = 1, count = 1, concurrency = 1, machines = LONG_RUN.machines] = runsFailedSeeds
   ? []
   : process.argv.slice(drills ? 3 : 2).map(Number);
-const seeds = isOfFailed
+const seeds = runsFailedSeeds
   ? FAILED_SEEDS.map(({ seed }) => seed)
   : Array.from({ length: count }, (_, index) => first + index);
-const waiting = [...seeds];
+const pendingSeeds = [...seeds];
 let failed = 0;
 
 async function runSeeds(): Promise<void> {
-  for (let seed = waiting.shift(); seed !== undefined; seed = waiting.shift()) {
+  for (let seed = pendingSeeds.shift(); seed !== undefined; seed = pendingSeeds.shift()) {
     report(seed, await runSoak({ ...LONG_RUN, machines, seed, drills }));
   }
 }
@@ -35,16 +38,16 @@
   if (violations.length === 0) return;
   failed += 1;
   for (const { promise, detail } of violations.slice(0, 10)) console.log(`  ${promise}: ${detail}`);
-  keep(seed, result);
+  saveFailure(seed, result);
 }
 
-function keep(seed: number, { violations, actions, logs }: SoakResult): void {
-  const directory = join(FAILURES, `seed-${seed}-${machines}`);
+function saveFailure(seed: number, { violations, actions, logs }: SoakResult): void {
+  const directory = join(FAILURES_DIRECTORY, `seed-${seed}-${machines}`);
   mkdirSync(directory, { recursive: true });
   writeFileSync(join(directory, 'run.json'), JSON.stringify({ violations, actions }, null, 2));
   for (const [machine, log] of logs) writeFileSync(join(directory, `${machine}.log`), log);
 }
 
-await Promise.all(Array.from({ length: sideBySide }, runSeeds));
+await Promise.all(Array.from({ length: concurrency }, runSeeds));
 console.log(`${seeds.length - failed} passed, ${failed} failed`);
 process.exit(failed === 0 ? 0 : 1);
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -1,30 +1,30 @@
 /**
- * One soak run: the nodes as processes of their own, faults from outside them, and the promises
- * checked over what callers, targets and operators saw.
+ * One soak run: runs the nodes as separate processes, injects faults from outside, and checks the
+ * guarantees against what callers, targets and operators observed.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Event } from '../../src/kernel/event.js';
 import { sendRequest } from '../stand-ins/mesh.js';
 import { ProcessMesh, type ProcessMachine } from '../support/process-mesh.js';
 import { checkLedger, type Bounds, type Violation } from './checks.js';
-import { createLedger, type Ledger, type SeenRun } from './ledger.js';
+import { createLedger, type Ledger, type ObservedRun } from './ledger.js';
 import { createSchedule, type Action } from './schedule.js';
 import { SoakCaller } from './soak-callers.js';
 import { SoakFaults } from './soak-faults.js';
 
-/** What a run is made from. */
+/** Options of a run. */
 export interface SoakOptions {
   readonly seed: number;
-  /** Machines; three services share them in turn. */
+  /** Number of machines; three services are assigned to them in turn. */
   readonly machines: number;
   readonly callersPerMachine: number;
   /** Time in which actions begin, in milliseconds. */
   readonly lengthMs: number;
-  /** Whether there are drills beside the faults; absent: none. */
+  /** Whether the schedule includes drills; absent: false. */
   readonly drills?: boolean;
 }
 
-/** What a run gave. */
+/** Result of a run. */
 export interface SoakResult {
   readonly violations: readonly Violation[];
   readonly actions: readonly Action[];
@@ -36,9 +36,9 @@
   readonly logs: ReadonlyMap<string, string>;
 }
 
-/** The bounds that the nodes' settings and the pages give. */
+/** The bounds in the nodes' settings and the documentation. */
 export const SOAK_BOUNDS: Bounds = {
-  contactMs: 3_000,
+  settlingMs: 3_000,
   gracePeriodMs: 6_000,
   lossSlackMs: 200,
   applyMs: 2_000,
@@ -47,16 +47,16 @@
 
 const SERVICES = ['guide', 'ledger', 'archive'] as const;
 const SLOTS = 12;
-/** Time after the last fault in which every node has to serve again. */
+/** Time after the last fault within which every node has to serve again. */
 const RECOVERY_MS = 15_000;
 const RECOVERY_CHECK_MS = 100;
-const MILLISECONDS_OF_PATH = /\/(\d+)$/;
+const WORK_MS_IN_PATH = /\/(\d+)$/;
 
 /** Runs one seed. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const run = new SoakRun(options);
   try {
-    return await run.play();
+    return await run.execute();
   } finally {
     await run.end();
   }
@@ -73,7 +73,7 @@
 
   constructor(private readonly options: SoakOptions) {}
 
-  async play(): Promise<SoakResult> {
+  async execute(): Promise<SoakResult> {
     const { seed, machines, lengthMs, callersPerMachine, drills = false } = this.options;
     if (drills) this.mesh.store.era = 1;
     await this.mesh.start();
@@ -103,38 +103,42 @@
     const service = SERVICES[index % SERVICES.length]!;
     const machine = await this.mesh.add({
       ...{ service, zone: `z${index % 2}`, slots: SLOTS, workMs: 0 },
-      workOf: ({ path }) => Number(MILLISECONDS_OF_PATH.exec(path)?.[1] ?? 0),
+      workOf: ({ path }) => Number(WORK_MS_IN_PATH.exec(path)?.[1] ?? 0),
     });
     this.watchTarget(machine, service);
     this.faults.watchProcess(machine);
   }
 
-  /** Notes each run, and has those of the chain route call another service first. */
+  /** Records each run, and makes those of the chain route call another service first. */
   private watchTarget(machine: ProcessMachine, service: string): void {
     const { target } = machine;
     target.keepReceived = false;
     target.behaviour = ({ attemptId, path, headers }, response) => {
       const expected = headers['x-expected-instance'];
       if (expected !== undefined && expected !== target.id) return false;
-      const told = headers['x-deadline-ms'];
-      const run: SeenRun = {
+      const deadlineField = headers['x-deadline-ms'];
+      const run: ObservedRun = {
         ...{ attemptId, path, service, machine: machine.id, targetId: target.id },
         startedAt: performance.now(),
-        timeLeftMs: told === undefined ? undefined : Number(told),
+        timeLeftMs: deadlineField === undefined ? undefined : Number(deadlineField),
         endedAt: undefined,
-        brokenOff: false,
+        aborted: false,
       };
       this.ledger.runs.push(run);
       response.on('close', () => {
         run.endedAt = performance.now();
-        run.brokenOff = !response.writableFinished;
+        run.aborted = !response.writableFinished;
       });
       if (!path.startsWith('/chain/')) return false;
       const answer = (status: number): void => {
         const fields = { 'X-Attempt-Id': attemptId, 'X-Server-Stamp': `stamp ${target.id}` };
         response.writeHead(status, fields).end(`answer to ${attemptId}`);
       };
-      const call = { path: '/read/20', attemptId: `${attemptId}.1`, deadlineMs: Number(told) };
+      const call = {
+        path: '/read/20',
+        attemptId: `${attemptId}.1`,
+        deadlineMs: Number(deadlineField),
+      };
       sendRequest(machine.entry, call).then(
         ({ status }) => answer(status === 200 ? 200 : 500),
         () => answer(500),
@@ -143,7 +147,7 @@
     };
   }
 
-  /** All faults are over: every node has to serve every route again. */
+  /** Waits until every node serves every route again after the last fault, and records those that do not. */
   private async recover(): Promise<void> {
     const end = performance.now() + RECOVERY_MS;
     for (const machine of this.mesh.machines) {
@@ -169,7 +173,7 @@
   }
 
   private summarize(actions: readonly Action[]): SoakResult {
-    this.faults.end();
+    this.faults.stopRecording();
     const { requests, runs, internalErrors } = this.ledger;
     for (const machine of this.mesh.machines) {
       for (const line of machine.events(Event.InternalError)) {
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -1,4 +1,4 @@
-/** Short soak runs for every check of a change, and the newest seed that ever failed. */
+/** Short soak runs, and the newest seed that has failed, as part of the tests of every change. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FAILED_SEEDS, LONG_RUN } from './failed-seeds.js';
@@ -9,8 +9,8 @@
 
 const RUNS: readonly (readonly [why: string, options: SoakOptions])[] = [
   ['overlapping stops, changes and faults', { ...SHORT, seed: 2_001 }],
-  ['the same with other luck', { ...SHORT, seed: 2_002 }],
-  ['a store that comes back from older copies', { ...SHORT, seed: 2_003, drills: true }],
+  ['the same with another seed', { ...SHORT, seed: 2_002 }],
+  ['a store that is restored from older copies', { ...SHORT, seed: 2_003, drills: true }],
 ];
 
 const [newest] = FAILED_SEEDS;
@@ -19,7 +19,7 @@
   ...RUNS,
   [newest!.cause, { ...LONG_RUN, seed: newest!.seed }] as const,
 ]) {
-  test(`soak seed ${options.seed} keeps every promise: ${why}`, async () => {
+  test(`soak seed ${options.seed} keeps every guarantee: ${why}`, async () => {
     const { violations, requests, served } = await runSoak(options);
     assert.deepEqual(violations, []);
     assert.ok(requests > 500, `${requests} requests`);
@@ -27,7 +27,7 @@
   });
 }
 
-test('a seed gives one schedule, and another seed another', () => {
+test('a seed always gives the same schedule, and another seed another one', () => {
   const [first, again, other] = [7, 7, 8].map((seed) => createSchedule(seed, 5, 10_000));
   assert.deepEqual(first, again);
   assert.notDeepEqual(first, other);
