--- a/scripts/bench-http-libraries.mjs
+++ b/scripts/bench-http-libraries.mjs
@@ -1,9 +1,9 @@
 /**
- * What one hop costs with each HTTP library, and with a whole node: every path is a process of
- * its own between the same caller and the same back end, all paths in turn within one run.
+ * Measures the latency of one hop with each HTTP library, and with a whole node. Every path is a
+ * separate process between the same caller and the same back end; calls go to all paths in turn.
  * "Added" is the difference of quantiles to the direct path, not a quantile of differences.
  *
- * Usage: node scripts/bench-http-libraries.mjs [calls per second and path] [seconds]
+ * Usage: node scripts/bench-http-libraries.mjs [calls per second per path] [seconds]
  */
 import { fork } from 'node:child_process';
 import { Buffer } from 'node:buffer';
@@ -16,7 +16,7 @@
 import { Pool } from 'undici';
 
 const SERVICE_MS = 5;
-/** Thousands of calls at each process: code that has not been compiled yet costs up to 1 ms a call. */
+/** Thousands of calls to each process: code that is not compiled yet costs up to 1 ms per call. */
 const WARM_UP_SECONDS = 15;
 const WARM_UP_RATE = 200;
 const CONNECTIONS = 200;
@@ -27,7 +27,7 @@
 const createAgent = () =>
   new Agent({ keepAlive: true, scheduling: 'lifo', timeout: IDLE_CONNECTION_MS });
 
-/** Calls a back end and resolves to the complete answer. */
+/** By library: creates a function that calls a back end and resolves to the complete answer. */
 const clients = {
   'node:http': (port) => {
     const agent = createAgent();
@@ -164,7 +164,7 @@
   });
 }
 
-/** Open loop with Poisson arrivals over all paths in turn. */
+/** Open-loop load with Poisson arrivals, to all paths in turn. */
 async function load(paths, rate, seconds) {
   const pending = [];
   const end = performance.now() + seconds * 1000;
--- a/scripts/bundle-options.mjs
+++ b/scripts/bundle-options.mjs
@@ -1,16 +1,16 @@
 /**
- * How programs of the machines are bundled: one file that starts quickly, since every start and
- * restart of a machine pays for it.
+ * Options for bundling the programs of the machines into one file that loads quickly, since its
+ * load time is part of every start and restart of a machine.
  */
 
-// Libraries in CommonJS form ask for `require`.
+// Libraries in CommonJS form call `require`.
 const REQUIRE =
   "import { createRequire } from 'node:module';\nconst require = createRequire(import.meta.url);";
 
 /**
  * Built-in modules that libraries load at their start and that the machines' programs hardly use:
- * prom-client's push gateway asks for https, its cluster registry for cluster, pino's transports for
- * worker_threads. Loading them all took 20 of 66 ms for built-in modules (profile of one start).
+ * prom-client's push gateway loads https, its cluster registry loads cluster, pino's transports load
+ * worker_threads. All of them took 20 of the 66 ms for built-in modules in the profile of one start.
  */
 const DEFERRED_BUILT_INS =
   /^(node:)?(assert|child_process|cluster|crypto|dgram|dns|https|perf_hooks|readline|tls|v8|worker_threads|zlib)$/;
@@ -56,8 +56,8 @@
   logLevel: 'warning',
 };
 
-/** Programs as modules. */
+/** For programs as ES modules. */
 export const BUNDLE_OPTIONS = { ...SHARED_OPTIONS, format: 'esm', banner: { js: REQUIRE } };
 
-/** Programs as scripts, which a code cache can be made of. */
+/** For programs as CommonJS scripts, for which a code cache can be created. */
 export const SCRIPT_OPTIONS = { ...SHARED_OPTIONS, format: 'cjs', plugins: [leanLibraries] };
--- a/scripts/bundle-sidecar.mjs
+++ b/scripts/bundle-sidecar.mjs
@@ -1,5 +1,5 @@
 /**
- * Builds the machines' program: a bundle, its code cache and the launcher that uses both,
+ * Builds the program of the machines: a bundle, its code cache and the launcher that loads both,
  * target/sillshore-sidecar.cjs.
  */
 import { execFileSync } from 'node:child_process';
@@ -11,7 +11,7 @@
 const BUNDLE = 'target/sillshore-sidecar.bundle.cjs';
 const REHEARSAL = 'target/rehearsal.mjs';
 
-/** A code cache holds for the flags that it was made with: those of the deploy file. */
+/** Reads the flags of the deploy file; a code cache is valid only for the flags that it was made with. */
 function readFlags() {
   const [, command] = /^run = "node (.*)"$/m.exec(readFileSync('deploy/system.toml', 'utf8'));
   return command.split(' ').filter((word) => /^--(?!settings)/.test(word));
--- a/scripts/measure-claim-memory.mjs
+++ b/scripts/measure-claim-memory.mjs
@@ -1,5 +1,5 @@
 /**
- * Measures what one claim and one attempt budget take in a replica's memory and in a hand-over.
+ * Measures the size of a claim and of an attempt budget in a replica's memory and in a transfer.
  * Usage: node --expose-gc scripts/measure-claim-memory.mjs (after a build).
  */
 import { serialize } from 'bson';
@@ -19,7 +19,7 @@
   for (let index = 0; index < ENTRIES; index += 1) fill(table, index);
   const heap = (heapBytes() - before) / ENTRIES;
   const wire = serialize(table.snapshot()).byteLength / ENTRIES;
-  console.log(`${name}: ${heap.toFixed(0)} bytes in memory, ${wire.toFixed(0)} in a hand-over`);
+  console.log(`${name}: ${heap.toFixed(0)} bytes in memory, ${wire.toFixed(0)} in a transfer`);
 }
 
 function createKey(index) {
--- a/scripts/play-days.mjs
+++ b/scripts/play-days.mjs
@@ -1,11 +1,12 @@
 #!/usr/bin/env node
 /**
- * Plays the days of deploy/days on the users' bench, some at a time, and prints what broke.
+ * Runs the days (scenarios) of deploy/days on the users' bench, several at a time, and
+ * prints the broken rules.
  *
  * Usage: node scripts/play-days.mjs --bench PROGRAM --site FILE [--jobs N] [--only NAME] --why TEXT
  *
- * The output of each day goes to out/days/. The exit code is 1 when a rule broke or a day could
- * not be played.
+ * The output of each day goes to out/days/. The exit code is 1 when a rule was broken or a day could
+ * not be run.
  */
 import { spawn } from 'node:child_process';
 import { createWriteStream, mkdirSync, readFileSync, readdirSync } from 'node:fs';
@@ -15,9 +16,9 @@
 
 const DAYS = 'deploy/days';
 const OUTPUT = 'out/days';
-/** A day's row of figures, broken rules, and what the bench noticed. */
+/** Lines to print: a day's row of figures, broken rules, and the bench's remarks. */
 const VERDICT = /\d+\/\d+ +\d\.\d\d |BROKEN|^rules broken|^- /;
-/** Marks a day on which a rule broke, or which could not be played to its end. */
+/** Marks a day on which a rule was broken, or which could not be run to its end. */
 const BROKEN = /BROKEN/;
 
 const { values } = parseArgs({
@@ -31,7 +32,7 @@
 });
 const { bench, site, only, why } = values;
 if (bench === undefined || site === undefined || why === undefined) {
-  console.error('--bench, --site and --why are needed');
+  console.error('--bench, --site and --why are required');
   process.exit(2);
 }
 
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,6 +1,6 @@
 /**
  * Runs all tests with node:test and applies KNOWN-RED.txt: a listed test may fail and is
- * printed; any other failure, a list that is not short, or a run without tests fails.
+ * printed. Fails on any other failure, on a list that is too long, and when no test passed.
  */
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
@@ -18,7 +18,7 @@
     .sort();
 }
 
-/** Lines are `test name, cause, issue`; the first member is the full test name. */
+/** Lines are `test name, cause, issue`; the first field is the full test name. */
 function readKnownRed() {
   if (!existsSync('KNOWN-RED.txt')) return [];
   return readFileSync('KNOWN-RED.txt', 'utf8')
--- a/scripts/vary-site.mjs
+++ b/scripts/vary-site.mjs
@@ -1,11 +1,11 @@
 #!/usr/bin/env node
 /**
- * Makes variations of a deployment of the users' bench, to play days on deployments that nobody has
- * written: fewer slots, priorities the other way round, a service with one target, ...
+ * Generates variations of a deployment for the users' bench, to run days on deployments that nobody
+ * has written: fewer slots, reversed priorities, a service with one target, ...
  *
  * Usage: node scripts/vary-site.mjs --site FILE [--out DIRECTORY] [--only NAME]
  *
- * Writes one site file a variation to the directory (out/sites) and prints their paths. Site files
+ * Writes one site file per variation to the directory (out/sites) and prints their paths. Site files
  * are read line by line: one line describes one group of machines, one service or one kind of
  * request, as the users write them.
  */
@@ -15,7 +15,7 @@
 
 const OUTPUT = 'out/sites';
 const COMPANIONS = ['wire.json', 'CUT'];
-/** Lowest rank that the users give to a kind of request. */
+/** Number of the lowest rank that the users give to a kind of request. */
 const LAST_PRIORITY = 2;
 
 const isMachines = (line) => /^\s*\{ class = "side".* app = /.test(line);
@@ -48,7 +48,7 @@
     lines.map((line) =>
       isService(line) ? changeNumber(line, 'slots', (slots) => Math.ceil(slots / 3)) : line,
     ),
-  /** What was least important is most important. */
+  /** The least important kinds of request become the most important. */
   'priorities-reversed': (lines) =>
     lines.map((line) =>
       isRequest(line)
@@ -71,12 +71,12 @@
       const fewer = changeNumber(line, 'conn_cap', (connections) => Math.ceil(connections / 6));
       return changeNumber(fewer, 'handshake_ms', () => 5);
     }),
-  /** Bodies twenty times as long, both ways. */
+  /** Bodies of requests and responses are twenty times as long. */
   'long-bodies': (lines) =>
     lines.map((line) =>
       isRequest(line) ? changeBytes(changeBytes(line, 'req_bytes', 20), 'resp_bytes', 20) : line,
     ),
-  /** Each call below is made twice as often. */
+  /** Each downstream call is made twice as often. */
   'more-calls': (lines) =>
     lines.map((line) =>
       isRequest(line) ? changeNumber(line, 'times', (times) => times * 2) : line,
@@ -92,7 +92,7 @@
 });
 const { site, out, only } = values;
 if (site === undefined || (only !== undefined && VARIATIONS[only] === undefined)) {
-  console.error(`--site is needed; variations: ${Object.keys(VARIATIONS).join(', ')}`);
+  console.error(`--site is required; variations: ${Object.keys(VARIATIONS).join(', ')}`);
   process.exit(2);
 }
 
@@ -109,7 +109,7 @@
   if (existsSync(days)) copyFileSync(days, join(directory, basename(days)));
   const varied = vary(lines);
   if (varied.join('\n') === lines.join('\n')) {
-    console.error(`${name}: nothing of ${site} was changed`);
+    console.error(`${name}: no line of ${site} was changed`);
     process.exitCode = 1;
   }
   const path = join(directory, basename(site));
