--- a/test/sidecar-crashing-requests.test.ts
+++ b/test/sidecar-crashing-requests.test.ts
@@ -187,12 +187,12 @@
 }
 
 test('a request that has crashed three targets is kept from the others', async () => {
-  for (const ending of [CRASHING_READ, CRASHING_WRITE]) {
+  for (const crashingRequest of [CRASHING_READ, CRASHING_WRITE]) {
     const crashTest = await startCrashTest(4);
     try {
-      const answers = await sendRepeatedlyToAll(crashTest, () => ending, REQUEST_GAP_MS);
+      const answers = await sendRepeatedlyToAll(crashTest, () => crashingRequest, REQUEST_GAP_MS);
       const { runs, crashes, lateRuns } = crashTest.targets;
-      const seen = `${ending.method}: ${runs.length} runs, ${crashes.length} crashes, ${lateRuns} late runs`;
+      const seen = `${crashingRequest.method}: ${runs.length} runs, ${crashes.length} crashes, ${lateRuns} late runs`;
       assert.ok(crashes.length >= 3, seen);
       assert.ok(lateRuns <= MAX_LATE_RUNS, seen);
       assert.ok(crashes.length <= MAX_CRASHES, seen);
