--- a/src/admin/admin-tls.test.ts
+++ b/src/admin/admin-tls.test.ts
@@ -10,7 +10,7 @@
 import { AdminService } from '../gen/sillshore/admin/v1/admin_pb.js';
 import { ManualClock } from '../kernel/clock.js';
 import { Event, type EventFields } from '../kernel/event.js';
-import { STRANGER_TLS, TEST_TLS } from '../../test/support/test-certificates.js';
+import { OTHER_CA_TLS, TEST_TLS } from '../../test/support/test-certificates.js';
 import { createTestSettings, startTestAdmin, TEST_TOKEN } from '../../test/support/test-admin.js';
 import type { TestAdmin } from '../../test/support/test-admin.js';
 import { toFailure } from './connect-error.js';
@@ -62,7 +62,7 @@
 const { Ok, PeerLost, PeerUnreachable } = ResultCode;
 const CASES: readonly (readonly [string, () => Promise<ResultCode>, ResultCode])[] = [
   ['the right CA', () => fetchStatus(urlOf(admin, 'https'), TEST_TLS.ca), Ok],
-  ['another CA', () => fetchStatus(urlOf(admin, 'https'), STRANGER_TLS.ca), PeerUnreachable],
+  ['another CA', () => fetchStatus(urlOf(admin, 'https'), OTHER_CA_TLS.ca), PeerUnreachable],
   ['a client without TLS', () => fetchStatus(urlOf(admin, 'http'), ''), PeerLost],
   [
     'TLS to a port without TLS',
@@ -117,7 +117,7 @@
 
 const INVALID: readonly (readonly [string, unknown])[] = [
   ['no PEM', { certificate: 'x', key }],
-  ['the key of another certificate', { certificate, key: STRANGER_TLS.key }],
+  ['the key of another certificate', { certificate, key: OTHER_CA_TLS.key }],
   ['no key', { certificate }],
 ];
 for (const [name, tls] of INVALID) {
--- a/src/claims/charge-requester.ts
+++ b/src/claims/charge-requester.ts
@@ -49,7 +49,7 @@
       if (ended === undefined) break;
       const { budget, outcome } = ended;
       if (outcome.slots.length > 0) return Result.ok(this.createGrant(budget, outcome.slots));
-      if (outcome.heardMajority) {
+      if (outcome.majorityReplied) {
         if (!outcome.split) return refuseExhausted('all attempts of this request id are used');
         splits += 1;
         majorityAnswers = true;
@@ -83,12 +83,12 @@
 
   private createGrant(budget: BudgetCharge, slots: readonly number[]): ChargeGrant {
     const { key, chargeId } = budget;
-    const giveBack = (count: number): void => {
+    const release = (count: number): void => {
       const unused = slots.slice(0, count);
       if (unused.length === 0) return;
       void this.options.delivery.deliver(key, { type: 'give-back', key, chargeId, unused });
     };
-    return { attempts: slots.length, giveBack };
+    return { attempts: slots.length, release };
   }
 
   private createBudgetCharge(key: string, wanted: number, bound: number): BudgetCharge {
--- a/src/claims/claim-groups.test.ts
+++ b/src/claims/claim-groups.test.ts
@@ -12,7 +12,7 @@
     const nodeId = `n${String(index).padStart(2, '0')}`;
     fleet.start(nodeId, `zone-${index % 3}`, groupsOf(index));
   }
-  await fleet.pass(READY_AFTER_MS * 2);
+  await fleet.advance(READY_AFTER_MS * 2);
   return fleet;
 }
 
@@ -73,7 +73,7 @@
   for (const key of keys) await fleet.claim('n01', key, `first-${key}`);
   await fleet.settle(fleet.nodes.get('n03')!.drain());
   fleet.kill('n03');
-  await fleet.pass(3_000);
+  await fleet.advance(3_000);
   for (let group = 0; group < GROUPS; group += 1) {
     assert.ok(!membersOf(fleet, group).includes('n03'), `group ${group}`);
     assert.equal(membersOf(fleet, group).length, 3);
@@ -89,7 +89,7 @@
   await fleet.claim('n01', key, 'first');
   fleet.platform.down = true;
   fleet.start('n05', 'zone-2', 3);
-  await fleet.pass(READY_AFTER_MS);
+  await fleet.advance(READY_AFTER_MS);
   const restarted = fleet.nodes.get('n05')!;
   assert.equal(restarted.groupCount, GROUPS);
   assert.equal((await fleet.claim('n05', key, 'second')).type, 'in-progress');
@@ -109,7 +109,7 @@
   const observer = fleet.nodes.get([...fleet.nodes.keys()].find((id) => !lost.includes(id))!)!;
   const epochs = untouched.map((group) => observer.placementOf(group)!.epoch);
   for (const nodeId of lost) fleet.start(nodeId, `zone-${Number(nodeId.slice(1)) % 3}`);
-  await fleet.pass(45_000);
+  await fleet.advance(45_000);
   assert.equal(observer.placementOf(0)?.epoch, 2);
   assert.ok(observer.placementOf(0)?.fresh);
   untouched.forEach((group, index) => {
@@ -124,7 +124,7 @@
     // The first node checks for lost groups; other nodes outside all groups only query.
     const outside = [...fleet.nodes.keys()].slice(1).filter((nodeId) => !members.has(nodeId));
     fleet.calls.clear();
-    await fleet.pass(5_000);
+    await fleet.advance(5_000);
     for (const nodeId of outside) {
       const calls = fleet.calls.get(nodeId) ?? 0;
       assert.ok(calls >= 4 && calls <= 6, `${nodeId} of ${nodes}: ${calls} calls in 5 s`);
--- a/src/claims/claim-release.test.ts
+++ b/src/claims/claim-release.test.ts
@@ -26,7 +26,7 @@
     claimed.push(key);
     const nodes = serial % 3 === 2 ? claimants : [claimants[serial % 3]!];
     for (const node of nodes) ends.push(claimOnce(node, key));
-    await fleet.pass(VIRTUAL_STEP_MS);
+    await fleet.advance(VIRTUAL_STEP_MS);
   }
   await fleet.settle(Promise.all(ends));
   return claimed;
@@ -40,7 +40,7 @@
     const claimed = await claimThroughout(fleet, 'a', 100);
     await fleet.settle(drained);
     fleet.kill('a');
-    await fleet.pass(10_000);
+    await fleet.advance(10_000);
     const kept: string[] = [];
     for (const key of claimed) {
       const decision = await fleet.claim('b', key, `again-${key}`);
--- a/src/claims/claim-service.ts
+++ b/src/claims/claim-service.ts
@@ -56,7 +56,7 @@
    * Releases attempts that were certainly not dispatched, so that a retry with the request id
    * can use them; fire and forget. Call it at most once.
    */
-  giveBack(unused: number): void;
+  release(unused: number): void;
 }
 
 /** A charge to the shared attempt budget of a request id. */
--- a/src/claims/claim-task.test.ts
+++ b/src/claims/claim-task.test.ts
@@ -21,7 +21,7 @@
   assert.equal((await fleet.claim('a', key, 'first')).type, 'granted');
   assert.equal((await fleet.claim('b', key, 'second')).type, 'in-progress');
   fleet.nodes.get('a')!.finish(fleet.createRequest(key, 'first'), ANSWER);
-  await fleet.pass(10);
+  await fleet.advance(10);
   assert.deepEqual(await fleet.claim('c', key, 'third'), { type: 'finished', answer: ANSWER });
   const reused = await fleet.claim('c', key, 'fourth', 'another request');
   assert.ok(reused.type === 'refused');
@@ -35,7 +35,7 @@
   await fleet.claim('b', key, 'second');
   await fleet.claim('b', 'no uuid', 'third');
   fleet.nodes.get('a')!.finish(fleet.createRequest(key, 'first'), ANSWER);
-  await fleet.pass(10);
+  await fleet.advance(10);
   await fleet.claim('c', key, 'fourth');
   const deadline = fleet.clock.now() + 1_000;
   const charge = { tenant: 't', requestId: 'r', wanted: 2, bound: 2, deadline };
@@ -53,7 +53,7 @@
   const key = fleet.createKey();
   await fleet.claim('a', key, 'first');
   fleet.nodes.get('a')!.release(fleet.createRequest(key, 'first'));
-  await fleet.pass(10);
+  await fleet.advance(10);
   assert.equal((await fleet.claim('b', key, 'second')).type, 'granted');
 });
 
@@ -99,7 +99,7 @@
   const key = fleet.createKey();
   await fleet.claim('a', key, 'first');
   fleet.start('a', 'zone-1');
-  await fleet.pass(2_000);
+  await fleet.advance(2_000);
   assert.equal(fleet.nodes.get('a')!.replicaStatusOf(0), 'voting');
   assert.equal((await fleet.claim('a', key, 'second')).type, 'in-progress');
   assert.equal((await fleet.claim('a', fleet.createKey(0, 9), 'third')).type, 'granted');
@@ -112,13 +112,13 @@
   fleet.platform.down = true;
   fleet.kill('a');
   fleet.start('d', 'zone-1');
-  await fleet.pass(5_000);
+  await fleet.advance(5_000);
   assert.equal(describeMembers(fleet.nodes.get('d')!), 'b,c,d');
   assert.equal(fleet.nodes.get('d')!.replicaStatusOf(0), 'voting');
   assert.equal((await fleet.claim('d', key, 'second')).type, 'in-progress');
   fleet.kill('b');
   fleet.start('e', 'zone-2');
-  await fleet.pass(5_000);
+  await fleet.advance(5_000);
   assert.equal((await fleet.claim('e', key, 'third')).type, 'in-progress');
 });
 
@@ -135,7 +135,7 @@
   assert.equal((await fleet.claim('c', fleet.createKey(0, 1), 'third')).type, 'granted');
   fleet.start('d', 'zone-1');
   fleet.start('e', 'zone-2');
-  await fleet.pass(5_000);
+  await fleet.advance(5_000);
   assert.equal(describeMembers(fleet.nodes.get('d')!), 'c,d,e');
   assert.equal((await fleet.claim('e', key, 'fourth')).type, 'in-progress');
 });
@@ -145,12 +145,12 @@
   const keys = Array.from({ length: 40 }, (_, serial) => fleet.createKey(0, serial));
   for (const key of keys) await fleet.claim('a', key, `first-${key}`);
   fleet.start('b', 'zone-2');
-  await fleet.pass(2_000);
+  await fleet.advance(2_000);
   assert.equal(fleet.nodes.get('b')!.replicaSizeOf(0), keys.length);
   await fleet.settle(fleet.nodes.get('a')!.drain());
   fleet.kill('a');
   fleet.start('d', 'zone-1');
-  await fleet.pass(5_000);
+  await fleet.advance(5_000);
   assert.equal(describeMembers(fleet.nodes.get('d')!), 'b,c,d');
   assert.equal(fleet.nodes.get('d')!.replicaSizeOf(0), keys.length);
   for (const key of keys) {
@@ -162,9 +162,9 @@
   const fleet = await createClaimFleet();
   const key = fleet.createKey();
   await fleet.claim('a', key, 'first');
-  await fleet.changeOnly('b');
+  await fleet.installNextEpochAt('b');
   fleet.kill('a');
-  await fleet.pass(5_000);
+  await fleet.advance(5_000);
   assert.equal((await fleet.claim('c', key, 'second')).type, 'in-progress');
   assert.equal((await fleet.claim('c', fleet.createKey(0, 1), 'third')).type, 'granted');
 });
@@ -185,14 +185,14 @@
   fleet.start('a', 'zone-1');
   fleet.start('b', 'zone-2');
   fleet.start('c', 'zone-3');
-  await fleet.pass(20_000);
+  await fleet.advance(20_000);
   assert.equal((await fleet.claim('a', key, 'second')).type, 'refused');
-  await fleet.pass(20_000);
+  await fleet.advance(20_000);
   assert.equal(fleet.nodes.get('c')!.replicaStatusOf(0), 'voting');
   const decision = await fleet.claim('b', key, 'third');
   assert.ok(decision.type === 'refused');
   assert.equal(decision.failure.code, ResultCode.IdempotencyKeyExpired);
-  await fleet.pass(30_000);
+  await fleet.advance(30_000);
   assert.equal((await fleet.claim('b', fleet.createKey(), 'fourth')).type, 'granted');
 });
 
@@ -202,7 +202,7 @@
   await fleet.claim('b', key, 'first');
   fleet.cut('b');
   fleet.cut('c');
-  await fleet.pass(60_000);
+  await fleet.advance(60_000);
   assert.equal(
     fleet.nodes.get('a')!.placementOf(0)?.epoch,
     fleet.nodes.get('b')!.placementOf(0)?.epoch,
@@ -222,7 +222,7 @@
         nextWrite: () => (writes++ === index ? outcome : 'ok'),
       });
       fleet.platform.deliverLate();
-      await fleet.pass(5_000);
+      await fleet.advance(5_000);
       const known = [...fleet.nodes.values()].map((task) => {
         return JSON.stringify([task.groupCount, task.placementOf(0)]);
       });
--- a/src/cli/settings-source.ts
+++ b/src/cli/settings-source.ts
@@ -2,7 +2,7 @@
 import { readFile } from 'node:fs/promises';
 import { Result } from 'true-myth';
 import { z } from 'zod';
-import { parseAndValidate } from '../config/document.js';
+import { parseAndValidate } from '../config/parse-document.js';
 import { validateSettings, type Settings } from '../config/settings.js';
 import { createFailure, type Failure } from '../core/failure.js';
 import { ResultCode } from '../core/result-code.js';
--- a/src/cli/sidecar-command.ts
+++ b/src/cli/sidecar-command.ts
@@ -32,7 +32,7 @@
     if (settings.isErr) return this.fail(settings.error);
     if (this.check) return ExitCode.Ok;
     const { platformAdapter } = await import('../../platform/adapter.js');
-    const { createSidecar } = await import('../sidecar/start-sidecar.js');
+    const { createSidecar } = await import('../sidecar/create-sidecar.js');
     const { runKernel } = await import('../kernel/run-kernel.js');
     const { SidecarToken } = await import('../sidecar/plugins/tokens.js');
     const source = {
--- a/src/cli/story-command.ts
+++ b/src/cli/story-command.ts
@@ -1,6 +1,6 @@
 /** `sillshore story`. */
 import { Command, Option } from 'clipanion';
-import { describeLine, storyOf } from '../logs/request-story.js';
+import { describeLine, selectRequestLines } from '../logs/request-story.js';
 import { SillshoreCommand } from './command.js';
 import { ExitCode } from './exit-code.js';
 import { readLogLines } from './log-files.js';
@@ -23,7 +23,7 @@
 
   protected async run(): Promise<ExitCode> {
     const lines = await readLogLines(this.files, this.context.stdin);
-    const story = storyOf(lines, this.id);
+    const story = selectRequestLines(lines, this.id);
     if (story.length === 0) {
       this.context.stderr.write(`no log line about ${this.id}\n`);
       return ExitCode.OperationFailed;
--- a/src/config/platform-rules-repository.test.ts
+++ b/src/config/platform-rules-repository.test.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '../kernel/clock.js';
 import { silentEventLog } from '../kernel/event.js';
 import { KeyValueStore } from '../stand-ins/platform/key-value-store.js';
-import { InMemoryPlatform, type WriteFate } from '../../test/support/in-memory-platform.js';
+import { InMemoryPlatform, type WriteOutcome } from '../../test/support/in-memory-platform.js';
 import { createSampleRules } from '../../test/support/sample-rules.js';
 import type { RevisionRecord } from './config-store.js';
 import { PlatformRulesRepository } from './platform-rules-repository.js';
@@ -75,7 +75,7 @@
 });
 
 /** Outcomes of the first writes, what apply returns, and what a retry of the operation returns. */
-const writeCases: readonly (readonly [readonly WriteFate[], string, string])[] = [
+const writeCases: readonly (readonly [readonly WriteOutcome[], string, string])[] = [
   [[], 'revision 1', 'revision 1'],
   [['lost-after'], 'revision 1', 'revision 1'],
   [['lost-before'], 'revision 1', 'revision 1'],
@@ -179,9 +179,12 @@
 
 /** Operators race with the same expected revision; answers are lost and writes late, in any order. */
 test('races: one operation wins, none takes effect twice, and the results match the store', async () => {
-  const outcomes = fc.array(fc.constantFrom<WriteFate>('ok', 'lost-before', 'lost-after', 'late'), {
-    maxLength: 8,
-  });
+  const outcomes = fc.array(
+    fc.constantFrom<WriteOutcome>('ok', 'lost-before', 'lost-after', 'late'),
+    {
+      maxLength: 8,
+    },
+  );
   const property = fc.asyncProperty(fc.scheduler(), outcomes, async (scheduler, planned) => {
     const left = [...planned];
     const step = () => scheduler.schedule(Promise.resolve());
--- a/src/config/rules.ts
+++ b/src/config/rules.ts
@@ -7,7 +7,7 @@
 import type { Failure } from '../core/failure.js';
 import { CRITICALITIES } from '../core/request.js';
 import { ResultCode } from '../core/result-code.js';
-import { parseAndValidate } from './document.js';
+import { parseAndValidate } from './parse-document.js';
 
 /** Schema of a name of a node, zone, tenant, service or target. */
 export const name = z
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -4,7 +4,7 @@
 import type { Failure } from '../core/failure.js';
 import { MAX_GROUPS } from '../core/claim/claim-groups.js';
 import { ResultCode } from '../core/result-code.js';
-import { parseAndValidate } from './document.js';
+import { parseAndValidate } from './parse-document.js';
 import { validateValue } from './validate-value.js';
 import { adminSettingsSchema } from './operator-tokens.js';
 import { address, name } from './rules.js';
--- a/src/core/attempt-ledger.test.ts
+++ b/src/core/attempt-ledger.test.ts
@@ -86,7 +86,7 @@
   const reserved = simulation.ledger.reserve(id, wanted);
   const used = call(simulation, callee, reserved);
   const returnLost = simulation.decide() < 20;
-  if (!returnLost) simulation.ledger.giveBack(id, reserved - used);
+  if (!returnLost) simulation.ledger.release(id, reserved - used);
 }
 
 test('attempts of a whole call tree never pass the bound', () => {
@@ -124,7 +124,7 @@
   ledger.open('a', 4);
   assert.equal(ledger.reserve('a', 9), 3);
   assert.equal(ledger.close('a'), 4);
-  ledger.giveBack('a', 3);
+  ledger.release('a', 3);
   assert.equal(ledger.reserve('a', 1), 0);
 });
 
--- a/src/core/attempt-ledger.ts
+++ b/src/core/attempt-ledger.ts
@@ -46,7 +46,7 @@
   }
 
   /** Returns attempts that were reserved and not used; ignored after the attempt has ended. */
-  giveBack(attemptId: string, unused: number): void {
+  release(attemptId: string, unused: number): void {
     const entry = this.entries.get(attemptId);
     if (entry === undefined) return;
     entry.reserved -= Math.max(0, Math.min(Math.floor(unused), entry.reserved));
--- a/src/core/claim/charge-coordinator.ts
+++ b/src/core/claim/charge-coordinator.ts
@@ -8,7 +8,7 @@
   /** Slots that count; at most as many as wanted. */
   readonly slots: readonly number[];
   /** Whether a majority of replicas that agree has replied. */
-  readonly heardMajority: boolean;
+  readonly majorityReplied: boolean;
   /** Whether replicas gave slots, but none by a majority, so that another round may help. */
   readonly split: boolean;
 }
@@ -46,7 +46,7 @@
     const granted = offered.filter((slot) => this.hasMajorityFor(slot, votes));
     return {
       slots: granted.slice(0, this.wanted),
-      heardMajority: this.isMajority(votes),
+      majorityReplied: this.isMajority(votes),
       split: granted.length === 0 && offered.length > 0,
     };
   }
--- a/src/core/membership/membership-faults.test.ts
+++ b/src/core/membership/membership-faults.test.ts
@@ -179,7 +179,7 @@
   },
   'a planned stop is known everywhere within 3 s and is no failure': (fleet) => {
     const leaver = fleet.node('node-2');
-    fleet.act(leaver, (now) => leaver.protocol.leave(now));
+    fleet.applyInput(leaver, (now) => leaver.protocol.leave(now));
     const isKnown = (): boolean =>
       others(fleet, 'node-2').every(({ protocol }) => {
         const member = protocol.find('node-2');
@@ -194,7 +194,7 @@
   'leaving targets and rules versions are known everywhere within 3 s': (fleet) => {
     const node = fleet.node('node-2');
     const facts = { leavingTargets: ['target-1'], configVersion: 5 };
-    fleet.act(node, (now) => node.protocol.update(now, facts));
+    fleet.applyInput(node, (now) => node.protocol.update(now, facts));
     const isKnown = (): boolean =>
       others(fleet, 'node-2').every(({ protocol }) => {
         const member = protocol.find('node-2');
@@ -204,7 +204,7 @@
   },
   'the rules version in force at each node is known everywhere within 8 s': (fleet) => {
     for (const node of fleet.running()) {
-      fleet.act(node, (now) => node.protocol.update(now, { configVersion: 6 }));
+      fleet.applyInput(node, (now) => node.protocol.update(now, { configVersion: 6 }));
     }
     const isKnown = (): boolean =>
       fleet
@@ -220,7 +220,7 @@
     fleet.kill('node-2');
     fleet.run(3 * 3_600 * SECOND_MS);
     assert.equal(viewer.protocol.find('node-2'), undefined);
-    fleet.act(viewer, (now) =>
+    fleet.applyInput(viewer, (now) =>
       viewer.protocol.onMessage(now, '10.0.0.3:7000', {
         type: 'gossip',
         from: 'node-3',
--- a/src/core/membership/membership-protocol.ts
+++ b/src/core/membership/membership-protocol.ts
@@ -193,7 +193,7 @@
   }
 
   /** Requests that transfer this node's claims about the members of buckets that differ. */
-  createHandOvers(buckets: readonly number[]): readonly MemberSyncRequest[] {
+  createTransferRequests(buckets: readonly number[]): readonly MemberSyncRequest[] {
     return createTransferRequests(listUpdates(this.state, buckets));
   }
 
--- a/src/core/quarantine/suspect-table.test.ts
+++ b/src/core/quarantine/suspect-table.test.ts
@@ -1,7 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { BARRED_CRASHES, SuspectTable, type RequestKey, type TargetEnd } from './suspect-table.js';
+import {
+  BARRED_CRASHES,
+  SuspectTable,
+  type RequestKey,
+  type TargetCrash,
+} from './suspect-table.js';
 
 const HOLD_MS = 5_000;
 const BARRED_TTL_MS = 600_000;
@@ -10,14 +15,15 @@
   return { content, caller };
 }
 
-function crash(target: string, ...contents: string[]): TargetEnd {
+function crash(target: string, ...contents: string[]): TargetCrash {
   return { target, ageMs: 0, requests: contents.map((content) => key(content)) };
 }
 
 /** A table in which targets crashed under a request. */
 function tableWith(fingerprint: string, count: number): SuspectTable {
   const table = new SuspectTable();
-  for (let index = 0; index < count; index += 1) table.noteEnd(0, crash(`t${index}`, fingerprint));
+  for (let index = 0; index < count; index += 1)
+    table.noteCrash(0, crash(`t${index}`, fingerprint));
   return table;
 }
 
@@ -33,11 +39,11 @@
 test('a crash that is reported again does not count twice', () => {
   const table = tableWith('a', 1);
   assert.deepEqual(
-    table.noteEnd(0, crash('t0', 'a', 'b')),
+    table.noteCrash(0, crash('t0', 'a', 'b')),
     [key('b')],
     'new for the other request',
   );
-  assert.equal(table.endsOf(key('a')), 1);
+  assert.equal(table.countCrashes(key('a')), 1);
 });
 
 test('a held request is tried once after the pause, then held again', () => {
@@ -73,7 +79,8 @@
 test('a request that was answered is not suspect, however many targets crash', () => {
   const table = new SuspectTable();
   table.noteServed(key('popular'));
-  for (let index = 0; index < 10; index += 1) table.noteEnd(0, crash(`t${index}`, 'popular', 'x'));
+  for (let index = 0; index < 10; index += 1)
+    table.noteCrash(0, crash(`t${index}`, 'popular', 'x'));
   assert.equal(table.check(0, key('popular')).type, 'free');
   assert.equal(table.check(0, key('x')).type, 'barred');
 });
@@ -87,7 +94,8 @@
 
 test('the number of suspects is bounded, and those with most crashes stay', () => {
   const table = tableWith('cause', BARRED_CRASHES);
-  for (let index = 0; index < 5_000; index += 1) table.noteEnd(0, crash(`u${index}`, `r${index}`));
+  for (let index = 0; index < 5_000; index += 1)
+    table.noteCrash(0, crash(`u${index}`, `r${index}`));
   assert.ok(table.size <= 1_024);
   assert.equal(table.check(0, key('cause')).type, 'barred');
 });
@@ -112,13 +120,13 @@
         (one, other) => (one.target.length + seed) % 3 || other.target.localeCompare(one.target),
       );
       const [first, second, third] = [new SuspectTable(), new SuspectTable(), new SuspectTable()];
-      for (const one of received) first.noteEnd(0, { ...one, ageMs: 0 });
-      for (const one of shuffled) second.noteEnd(0, { ...one, ageMs: 0 });
-      for (const one of first.ends(0)) third.noteEnd(0, one);
+      for (const one of received) first.noteCrash(0, { ...one, ageMs: 0 });
+      for (const one of shuffled) second.noteCrash(0, { ...one, ageMs: 0 });
+      for (const one of first.crashes(0)) third.noteCrash(0, one);
       for (const content of ['a', 'b', 'c']) {
-        const count = first.endsOf(key(content));
-        assert.equal(second.endsOf(key(content)), count);
-        assert.equal(third.endsOf(key(content)), count, 'sent as a whole');
+        const count = first.countCrashes(key(content));
+        assert.equal(second.countCrashes(key(content)), count);
+        assert.equal(third.countCrashes(key(content)), count, 'sent as a whole');
       }
     }),
     { seed: 1, numRuns: 300 },
@@ -129,7 +137,7 @@
 function tableOfCallers(...callers: readonly string[]): SuspectTable {
   const table = new SuspectTable();
   callers.forEach((caller, index) =>
-    table.noteEnd(0, { target: `t${index}`, ageMs: 0, requests: [key('a', caller)] }),
+    table.noteCrash(0, { target: `t${index}`, ageMs: 0, requests: [key('a', caller)] }),
   );
   return table;
 }
--- a/src/core/quarantine/suspect-table.ts
+++ b/src/core/quarantine/suspect-table.ts
@@ -23,7 +23,7 @@
 }
 
 /** One crash of a target, with the requests that ran there. */
-export interface TargetEnd {
+export interface TargetCrash {
   /** Incarnation of the target: a text that is unique over all targets and their incarnations. */
   readonly target: string;
   /** Time since the crash, in milliseconds. */
@@ -45,7 +45,7 @@
     };
 
 /** Crashes after which a request is run only in single trials with pauses between them. */
-export const HELD_ENDS = 2;
+export const HELD_CRASHES = 2;
 /** Crashes after which a request is not run any more. */
 export const BARRED_CRASHES = 3;
 
@@ -99,7 +99,8 @@
     let count = 0;
     for (const [content, { crashes }] of this.suspects) {
       const callers = new Set([...crashes.values()].flatMap((crash) => [...crash.callers]));
-      if ([...callers].some((caller) => this.endsOf({ content, caller }) >= HELD_ENDS)) count += 1;
+      if ([...callers].some((caller) => this.countCrashes({ content, caller }) >= HELD_CRASHES))
+        count += 1;
     }
     return count;
   }
@@ -109,7 +110,7 @@
    *
    * @returns the requests for which it was not known yet; those that have been answered are not suspect
    */
-  noteEnd(now: number, { target, ageMs, requests }: TargetEnd): readonly RequestKey[] {
+  noteCrash(now: number, { target, ageMs, requests }: TargetCrash): readonly RequestKey[] {
     return requests.filter((request) => {
       if (this.isServed(request)) return false;
       return this.addCrash(now, request, target, now - ageMs);
@@ -122,7 +123,7 @@
    * @returns how many crashes it was suspected of
    */
   noteServed(request: RequestKey): number {
-    const crashes = this.endsOf(request);
+    const crashes = this.countCrashes(request);
     this.served.note(request.content, request.caller);
     const suspect = this.suspects.get(request.content);
     if (suspect !== undefined && this.isCleared(request.content, suspect)) {
@@ -137,13 +138,13 @@
   }
 
   /** Number of crashes that the request is suspected of. */
-  endsOf(request: RequestKey): number {
+  countCrashes(request: RequestKey): number {
     return this.countedCrashes(request).length;
   }
 
   /** Whether a request that is admitted now is a trial, which only one target may run. */
   isTrial(request: RequestKey): boolean {
-    return this.endsOf(request) >= HELD_ENDS;
+    return this.countCrashes(request) >= HELD_CRASHES;
   }
 
   /**
@@ -153,7 +154,7 @@
   admitRun(now: number, request: RequestKey): Verdict {
     const crashes = this.countedCrashes(request);
     const suspect = this.suspects.get(request.content);
-    if (suspect === undefined || crashes.length < HELD_ENDS) return FREE;
+    if (suspect === undefined || crashes.length < HELD_CRASHES) return FREE;
     const holdLeftMs = suspect.lastLocalTrialAt + HOLD_MS - now;
     if (crashes.length >= BARRED_CRASHES) return refused('barred', now, crashes, BARRED_RETRY_MS);
     if (holdLeftMs > 0) return refused('held', now, crashes, holdLeftMs);
@@ -177,14 +178,14 @@
     const lastCrashOrTrialAt = this.suspects.get(request.content)?.lastCrashOrTrialAt ?? -Infinity;
     const holdLeftMs = lastCrashOrTrialAt + HOLD_MS - now;
     const isBarred = crashes.length >= BARRED_CRASHES;
-    if (!isBarred && (crashes.length < HELD_ENDS || holdLeftMs <= 0)) return FREE;
+    if (!isBarred && (crashes.length < HELD_CRASHES || holdLeftMs <= 0)) return FREE;
     return isBarred
       ? refused('barred', now, crashes, BARRED_RETRY_MS)
       : refused('held', now, crashes, holdLeftMs);
   }
 
   /** All retained crashes, for a node that receives them for the first time. */
-  ends(now: number): readonly TargetEnd[] {
+  crashes(now: number): readonly TargetCrash[] {
     const byTarget = new Map<string, { ageMs: number; requests: RequestKey[] }>();
     for (const [content, { crashes }] of this.suspects) {
       for (const [target, { at, callers }] of crashes) {
--- a/src/core/quota/quota-share.test.ts
+++ b/src/core/quota/quota-share.test.ts
@@ -88,11 +88,11 @@
   share.onGrants([{ tenant: 't', granted: 1, retryAfterMs: 0 }], now());
   const [first] = decisions;
   assert.ok(first?.type === 'granted');
-  share.giveBack(first.token);
+  share.returnGrant(first.token);
   admit();
   assert.equal(decisions.length, 2, 'it is used for the next request');
   pass(10_000);
-  share.giveBack(first.token);
+  share.returnGrant(first.token);
   admit();
   assert.equal(
     share.createRequests()[0]?.returned,
@@ -108,12 +108,12 @@
   const cancel = share.admit('t', LIMIT, ({ type }) => decisions.push(type));
   cancel();
   share.createRequests();
-  share.onNoAnswer();
+  share.onNoReply();
   pass(999);
-  share.endWaits();
+  share.expireWaits();
   assert.deepEqual(decisions, []);
   pass(1);
-  share.endWaits();
+  share.expireWaits();
   assert.deepEqual(decisions, ['uncounted']);
   assert.equal(share.isWaiting, false);
 });
@@ -185,7 +185,7 @@
   const sendRequest = (index: number): void => {
     const { share, disconnectedUntil } = fleet[index]!;
     if (now - sentAt[index]! < REPLY_TIMEOUT_MS && sentAt[index] !== -Infinity) return;
-    if (sentAt[index] !== -Infinity) share.onNoAnswer();
+    if (sentAt[index] !== -Infinity) share.onNoReply();
     sentAt[index] = -Infinity;
     const requests = share.createRequests();
     if (requests.length === 0) return;
@@ -221,7 +221,7 @@
       });
     }
     fleet.forEach(({ share }, index) => {
-      share.endWaits();
+      share.expireWaits();
       if (now % REQUEST_INTERVAL_MS === 0 || share.isWaiting) sendRequest(index);
     });
   }
--- a/src/core/quota/quota-share.ts
+++ b/src/core/quota/quota-share.ts
@@ -120,7 +120,7 @@
   }
 
   /** Returns a granted request that was not made. */
-  giveBack({ tenant, requestedAt }: QuotaToken): void {
+  returnGrant({ tenant, requestedAt }: QuotaToken): void {
     const share = this.shares.get(tenant);
     if (share === undefined) return;
     if (this.isValid(share, requestedAt)) share.batches.push({ requestedAt, count: 1 });
@@ -146,12 +146,12 @@
   }
 
   /** The quota request got no reply; grants for waiting requests are requested again. */
-  onNoAnswer(): void {
+  onNoReply(): void {
     for (const share of this.shares.values()) share.requestedCount = 0;
   }
 
   /** Decides on requests that have waited too long, as uncounted. */
-  endWaits(): void {
+  expireWaits(): void {
     for (const tenant of [...this.waitingTenants]) {
       const share = this.shares.get(tenant)!;
       const { waiting } = share;
--- a/src/emulator/downstream-calls.ts
+++ b/src/emulator/downstream-calls.ts
@@ -64,7 +64,7 @@
       deadline: context.deadline,
       onEnd: (end) => {
         const now = this.simulation.queue.now();
-        this.ledger.giveBack(id, granted - end.attemptsUsed);
+        this.ledger.release(id, granted - end.attemptsUsed);
         const threshold = this.parent.node.threshold(site.service, site.kind.name, now);
         this.parent.noteDownstream(site.service, threshold, this.attempt.site.kind.name);
         this.simulation.queue.schedule(this.simulation.deployment.localDelayMs, () => {
--- a/src/emulator/scenario.ts
+++ b/src/emulator/scenario.ts
@@ -4,7 +4,7 @@
  */
 import type { Result } from 'true-myth';
 import { z } from 'zod';
-import { parseAndValidate } from '../config/document.js';
+import { parseAndValidate } from '../config/parse-document.js';
 import { validateValue } from '../config/validate-value.js';
 import { listOverloadPolicies } from '../core/overload-policy-registry.js';
 import './policies.js';
--- a/src/entry/attempt-source.ts
+++ b/src/entry/attempt-source.ts
@@ -59,9 +59,9 @@
 
   /** Ends the call. Returns charged attempts that were not used, for retries with the same key. */
   release(): void {
-    for (const { attempts, giveBack } of this.grants) {
+    for (const { attempts, release } of this.grants) {
       const unused = Math.min(attempts, this.charged);
-      if (unused > 0) giveBack(unused);
+      if (unused > 0) release(unused);
       this.charged -= unused;
     }
     this.grants.length = 0;
--- a/src/entry/entry-server.ts
+++ b/src/entry/entry-server.ts
@@ -82,7 +82,7 @@
     stopListening: () => {
       // Closing the listener resets connections that the operating system has accepted and the
       // server has not.
-      burst.afterWaiting(() => {
+      burst.runAfterAccepts(() => {
         // The HTTP server's own close also closes idle connections, on which a caller may be
         // sending at that moment.
         NetServer.prototype.close.call(server);
@@ -161,11 +161,11 @@
     expectsContinue: boolean,
   ): HttpExchange | undefined {
     const connection = this.bySocket.get(request.socket);
-    if (connection?.takesRequests !== true) return undefined;
-    const slot = connection.take(response);
+    if (connection?.acceptsRequests !== true) return undefined;
+    const slot = connection.accept(response);
     const decideClose = (wantsClose: boolean): boolean => {
       slot.answered = true;
-      const closes = (wantsClose || !connection.takesRequests) && connection.isNewest(slot);
+      const closes = (wantsClose || !connection.acceptsRequests) && connection.isNewest(slot);
       if (closes) connection.finish();
       return closes;
     };
--- a/src/http/accept-burst.test.ts
+++ b/src/http/accept-burst.test.ts
@@ -61,7 +61,7 @@
 
 test('a task that follows the waiting connections runs once a turn accepts none', () => {
   const { burst, done, endTurn } = createHarness();
-  burst.afterWaiting(() => done.push('closed'));
+  burst.runAfterAccepts(() => done.push('closed'));
   endTurn();
   burst.noteConnection();
   endTurn();
--- a/src/http/accept-burst.ts
+++ b/src/http/accept-burst.ts
@@ -36,7 +36,7 @@
   }
 
   /** Runs a task once the connections that now wait have been accepted. */
-  afterWaiting(task: () => void): void {
+  runAfterAccepts(task: () => void): void {
     this.noteConnection();
     this.held.push(task);
   }
--- a/src/http/caller-connection.ts
+++ b/src/http/caller-connection.ts
@@ -63,7 +63,7 @@
   }
 
   /** Whether a request that arrives now is accepted. */
-  get takesRequests(): boolean {
+  get acceptsRequests(): boolean {
     return this.phase === 'open';
   }
 
@@ -83,7 +83,7 @@
   }
 
   /** Accepts a request. It is finished when its answer has been passed to the operating system. */
-  take(response: ServerResponse): ConnectionSlot {
+  accept(response: ServerResponse): ConnectionSlot {
     const slot: ConnectionSlot = { request: undefined, answered: false };
     this.slots.add(slot);
     response.once('finish', () => {
--- a/src/logs/request-story.test.ts
+++ b/src/logs/request-story.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Event } from '../kernel/event.js';
-import { describeLine, parseLogLine, storyOf, type LogLine } from './request-story.js';
+import { describeLine, parseLogLine, selectRequestLines, type LogLine } from './request-story.js';
 
 function line(overrides: Partial<LogLine>): LogLine {
   return { node: 'a', time: 0, event: Event.AttemptFailed, id: 'one', fields: {}, ...overrides };
@@ -10,14 +10,17 @@
 test('the end of a request comes last, whatever the clocks of the nodes say', () => {
   const end = line({ event: Event.RequestFailed, time: 1 });
   const attempt = line({ node: 'b', time: 5_000 });
-  assert.deepEqual(storyOf([end, attempt, line({ id: 'other' })], 'one'), [attempt, end]);
+  assert.deepEqual(selectRequestLines([end, attempt, line({ id: 'other' })], 'one'), [
+    attempt,
+    end,
+  ]);
 });
 
 test('calls made for a request are included and come before its end', () => {
   const end = line({ event: Event.RequestFailed, request: 'one' });
   const call = line({ id: 'one.two', request: 'one', event: Event.RequestRefused });
   const attempt = line({ id: 'one.two', time: 9 });
-  assert.deepEqual(storyOf([end, attempt, call], 'one'), [attempt, call, end]);
+  assert.deepEqual(selectRequestLines([end, attempt, call], 'one'), [attempt, call, end]);
 });
 
 test('a log line is parsed with or without a prefix; other lines are ignored', () => {
--- a/src/logs/request-story.ts
+++ b/src/logs/request-story.ts
@@ -67,7 +67,7 @@
  *
  * @param id id of an attempt or of the caller's request
  */
-export function storyOf(lines: readonly LogLine[], id: string): readonly LogLine[] {
+export function selectRequestLines(lines: readonly LogLine[], id: string): readonly LogLine[] {
   const ids = new Set([id]);
   for (const line of lines) if (line.request === id) ids.add(line.id);
   return lines.filter((line) => ids.has(line.id)).sort(byCause);
--- a/src/membership/member-sync.ts
+++ b/src/membership/member-sync.ts
@@ -13,7 +13,7 @@
 /** The membership state that exchanges read and update. */
 export interface SyncState {
   createSyncRequest(): MemberSyncRequest;
-  createHandOvers(buckets: readonly number[]): readonly MemberSyncRequest[];
+  createTransferRequests(buckets: readonly number[]): readonly MemberSyncRequest[];
   /** Merges updates that a node has sent. */
   merge(nodeId: string, updates: readonly MemberUpdate[]): void;
 }
@@ -37,7 +37,7 @@
         const reply = await this.sync(nodeId, { ...request, after });
         if (reply === undefined) return;
         // Created before the first merge, so that they hold only what this node already knew.
-        transferRequests ??= this.state.createHandOvers(reply.buckets);
+        transferRequests ??= this.state.createTransferRequests(reply.buckets);
         this.state.merge(nodeId, reply.updates);
         after = reply.next;
         if (after === '') break;
--- a/src/membership/membership-task.ts
+++ b/src/membership/membership-task.ts
@@ -94,7 +94,7 @@
     this.notifier = new PacedNotifier(options.clock);
     this.sync = new MemberSync(options.network, {
       createSyncRequest: () => this.protocol.createSyncRequest(),
-      createHandOvers: (buckets) => this.protocol.createHandOvers(buckets),
+      createTransferRequests: (buckets) => this.protocol.createTransferRequests(buckets),
       merge: (nodeId, updates) => void this.post({ type: 'merge', nodeId, updates }),
     });
     this.registerHandlers(options.network);
--- a/src/peer/tls-peer-network.test.ts
+++ b/src/peer/tls-peer-network.test.ts
@@ -11,7 +11,7 @@
 import { ResultCode } from '../core/result-code.js';
 import { ManualClock } from '../kernel/clock.js';
 import { Event } from '../kernel/event.js';
-import { STRANGER_TLS, TEST_TLS } from '../../test/support/test-certificates.js';
+import { OTHER_CA_TLS, TEST_TLS } from '../../test/support/test-certificates.js';
 import { TcpPeerNetwork } from './tcp-peer-network.js';
 
 interface Node {
@@ -83,7 +83,7 @@
 }
 
 /** Has a certificate of another authority, but trusts the fleet's. */
-const IMPOSTOR_TLS = { ...STRANGER_TLS, ca: TEST_TLS.ca };
+const IMPOSTOR_TLS = { ...OTHER_CA_TLS, ca: TEST_TLS.ca };
 
 interface Case {
   readonly name: string;
@@ -96,7 +96,7 @@
 const CASES: readonly Case[] = [
   {
     name: 'a client that trusts another authority',
-    client: { tls: STRANGER_TLS },
+    client: { tls: OTHER_CA_TLS },
     server: { tls: TEST_TLS },
     rejections: [undefined, /^PeerRejected PeerUnauthenticated TLS: /],
   },
--- a/src/sidecar/directory/node-directory.ts
+++ b/src/sidecar/directory/node-directory.ts
@@ -21,7 +21,7 @@
 import { incarnationText } from './target-registration.js';
 import { PeerLink } from '../link/peer-link.js';
 import type { QuarantineExchange, QuarantineUpdate } from '../quarantine/quarantine-update.js';
-import { gatherRecordsMs } from './watch-timing.js';
+import { recordBatchPauseMs } from './watch-timing.js';
 import { decodeNodeRecord, NODE_RECORD_PREFIX, type NodeRecord } from './node-record.js';
 
 export interface NodeDirectoryOptions {
@@ -61,7 +61,7 @@
   /** Called when the store holds no valid record of this node. */
   onOwnRecordLost(): void;
   /** Called when a peer reports that this incarnation of the local target has left. */
-  onOwnTargetLeft(incarnation: string): void;
+  onLocalTargetLeft(incarnation: string): void;
 }
 
 /** Longest time in which a node writes an expired record again once the store is available, in milliseconds. */
@@ -72,7 +72,7 @@
  * have been received.
  */
 export function expiredRecordGraceMs(nodes: number): number {
-  return MAX_RECORD_REWRITE_MS + gatherRecordsMs(nodes);
+  return MAX_RECORD_REWRITE_MS + recordBatchPauseMs(nodes);
 }
 
 /** Peers that a starting node connects to before it trusts an old record of itself. */
@@ -147,7 +147,7 @@
   }
 
   /** Connects to some peers; resolves when they have had time to report what they know of this node. */
-  async hearPeers(): Promise<void> {
+  async waitForPeerReports(): Promise<void> {
     const { clock } = this.options;
     const startupPeers = [...this.peers.values()].slice(0, STARTUP_PEERS);
     for (const { link } of startupPeers) link.open();
@@ -218,7 +218,7 @@
   /** Nodes that can be asked to count tenants' limits, this one included. */
   countingCandidates(): readonly string[] {
     const nodes = [this.options.node];
-    for (const [node, { link }] of this.peers) if (!link.isOutOfReach) nodes.push(node);
+    for (const [node, { link }] of this.peers) if (!link.isKnownUnreachable) nodes.push(node);
     return nodes;
   }
 
@@ -328,8 +328,8 @@
       quarantine: this.options.quarantine,
       leftTarget: () => this.leftTargets.get(node),
       listener: {
-        onOwnTargetLeft: (incarnation) => {
-          this.options.onOwnTargetLeft(incarnation);
+        onLocalTargetLeft: (incarnation) => {
+          this.options.onLocalTargetLeft(incarnation);
         },
         onStatus: (status) => {
           this.onStatus(node, status);
@@ -436,7 +436,7 @@
 
 function toCandidate(id: string, peer: Peer): PeerCandidate {
   const { record, rank, link, lastStatus } = peer;
-  const usable = !link.isOutOfReach && (lastStatus?.target ?? record.target) === 'ready';
+  const usable = !link.isKnownUnreachable && (lastStatus?.target ?? record.target) === 'ready';
   return { id, zone: record.zone, rank, usable, peer };
 }
 
@@ -462,5 +462,5 @@
 }
 
 function isEligible({ record, link, lastStatus }: Peer): boolean {
-  return link.isPromising && (lastStatus?.target ?? record.target) === 'ready';
+  return link.isReachableOrConnecting && (lastStatus?.target ?? record.target) === 'ready';
 }
--- a/src/sidecar/directory/prefix-watch.ts
+++ b/src/sidecar/directory/prefix-watch.ts
@@ -62,7 +62,7 @@
   /** Watches until it is closed. */
   async run(): Promise<void> {
     for (;;) {
-      await this.options.backoff.turn();
+      await this.options.backoff.waitForTurn();
       if (this.closed) return;
       if (this.revision === undefined) await this.list();
       else await this.watch(this.revision);
--- a/src/sidecar/directory/record-publisher.test.ts
+++ b/src/sidecar/directory/record-publisher.test.ts
@@ -58,7 +58,7 @@
     this.leases += 1;
     return Promise.resolve(Result.ok({ id: String(this.leases), ttlMs: 1_000 }));
   }
-  keepLease(): ReturnType<MetadataStore['keepLease']> {
+  renewLease(): ReturnType<MetadataStore['renewLease']> {
     return Promise.resolve(Result.ok(true));
   }
   close(): void {
--- a/src/sidecar/directory/record-publisher.ts
+++ b/src/sidecar/directory/record-publisher.ts
@@ -144,7 +144,7 @@
     this.previous = undefined;
     if (previous?.lease === undefined) return false;
     if (!previous.value.equals(this.encode(record))) return false;
-    const kept = await this.options.store.keepLease(previous.lease);
+    const kept = await this.options.store.renewLease(previous.lease);
     if (kept.isErr || !kept.value) return false;
     this.lease = previous.lease;
     return true;
@@ -188,7 +188,7 @@
     if (this.closed) return;
     const { lease } = this;
     if (lease !== undefined) {
-      const kept = await this.options.store.keepLease(lease);
+      const kept = await this.options.store.renewLease(lease);
       if (kept.isOk && !kept.value && lease === this.lease) {
         this.lease = undefined;
         this.writeAgain();
--- a/src/sidecar/directory/target-lifecycle.ts
+++ b/src/sidecar/directory/target-lifecycle.ts
@@ -50,7 +50,7 @@
   /** Requests the identity from the target itself; undefined without a valid answer. */
   probe(timeoutMs: number): Promise<string | undefined>;
   /** Resolves when peers have had time to report what they know of this node. */
-  hearPeers(): Promise<void>;
+  waitForPeerReports(): Promise<void>;
   /** Called when the known target or its state has changed. */
   onChanged(target: RegisteredTarget | undefined): void;
 }
@@ -79,10 +79,10 @@
    * until its next report, which takes longer than the start of the node.
    */
   private async restoreReady(previous: NodeRecord): Promise<void> {
-    const { registration, clock, publisher, hearPeers } = this.options;
+    const { registration, clock, publisher, waitForPeerReports } = this.options;
     if (previous.targetSlots === undefined) return;
     // The store may have lost the leaving state acknowledged after this record; peers still know it.
-    if (publisher.isFromOtherEra(previous)) await hearPeers();
+    if (publisher.isFromOtherEra(previous)) await waitForPeerReports();
     const found = await this.probeUntilAnswered();
     if (found !== previous.targetId || registration.current !== undefined) return;
     registration.restoreReady(clock.now(), targetOf(previous), previous.targetSlots);
@@ -126,7 +126,7 @@
   }
 
   /** Called when a peer reports that this incarnation of the target has left. */
-  onLeftBefore(incarnation: string): void {
+  onPeerReportedLeft(incarnation: string): void {
     this.options.registration.restoreLeft(parseIncarnation(incarnation));
     this.publishIfChanged();
   }
--- a/src/sidecar/directory/watch-timing.test.ts
+++ b/src/sidecar/directory/watch-timing.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { gatherRecordsMs, waitForChangesMs } from './watch-timing.js';
+import { recordBatchPauseMs, waitForChangesMs } from './watch-timing.js';
 
 /** Longest wait that the store grants, and the largest ratio of a wait to its mean. */
 const STORE_LIMIT_MS = 30_000;
@@ -9,7 +9,7 @@
 test('a small fleet uses the minimum wait and the minimum pause', () => {
   for (const nodes of [1, 14, 17, 40]) {
     assert.equal(waitForChangesMs(nodes, 5_000), 5_000);
-    assert.equal(gatherRecordsMs(nodes), 1_000);
+    assert.equal(recordBatchPauseMs(nodes), 1_000);
   }
 });
 
@@ -22,6 +22,6 @@
 });
 
 test('a changed record is received within three seconds in any fleet', () => {
-  assert.equal(gatherRecordsMs(100), 1_500);
-  assert.equal(gatherRecordsMs(1_000), 3_000);
+  assert.equal(recordBatchPauseMs(100), 1_500);
+  assert.equal(recordBatchPauseMs(1_000), 3_000);
 });
--- a/src/sidecar/directory/watch-timing.ts
+++ b/src/sidecar/directory/watch-timing.ts
@@ -32,7 +32,7 @@
  * Pause after changes of records, in milliseconds, so that one call returns all changes that follow. While a
  * fleet starts, a node makes one call for each pause.
  */
-export function gatherRecordsMs(nodes: number): number {
+export function recordBatchPauseMs(nodes: number): number {
   return Math.min(
     MAX_BATCH_PAUSE_MS,
     Math.max(MIN_BATCH_PAUSE_MS, nodes * BATCH_PAUSE_MS_PER_NODE),
--- a/src/sidecar/entry/entry-listener.ts
+++ b/src/sidecar/entry/entry-listener.ts
@@ -107,7 +107,7 @@
     this.closed = new Promise((resolve) => {
       // Waits until pending connections have been accepted, so that they are closed in order and not reset.
       // Uses net.Server's close, since that of the HTTP server destroys idle connections.
-      this.burst.afterWaiting(() => {
+      this.burst.runAfterAccepts(() => {
         NetServer.prototype.close.call(this.server, () => resolve());
       });
     });
@@ -125,7 +125,7 @@
     this.finish();
     this.destroyAll();
     await new Promise<void>((resolve) => {
-      this.burst.afterWaiting(resolve);
+      this.burst.runAfterAccepts(resolve);
     });
     this.destroyAll();
     await this.closed;
@@ -147,12 +147,12 @@
   private onRequest(request: IncomingMessage, response: ServerResponse): void {
     const connection = this.connections.get(request.socket);
     const exchange = new CallerExchange(request, response, this.clock.now());
-    if (connection?.takesRequests !== true) {
+    if (connection?.acceptsRequests !== true) {
       request.resume();
       this.handler.onRequestDropped(exchange);
       return;
     }
-    const slot = connection.take(response);
+    const slot = connection.accept(response);
     this.burst.run(() => {
       this.handle(connection, slot, exchange);
     });
@@ -196,7 +196,7 @@
   ): boolean {
     if (request.headers.connection?.toLowerCase() === 'close') return true;
     if (!connection.isNewest(slot)) return false;
-    return this.draining || !connection.takesRequests || !request.complete;
+    return this.draining || !connection.acceptsRequests || !request.complete;
   }
 
   /** The input is not HTTP, or a request head is late. Requests accepted before it are still answered. */
--- a/src/sidecar/entry/entry-service.ts
+++ b/src/sidecar/entry/entry-service.ts
@@ -184,7 +184,7 @@
 
   /** A counted request that was not run is not charged to the tenant. */
   private returnToken(): void {
-    if (this.token !== undefined) this.options.quotas.giveBack(this.token);
+    if (this.token !== undefined) this.options.quotas.returnGrant(this.token);
     this.token = undefined;
   }
 
@@ -219,7 +219,7 @@
       retrySlack: this.options.retrySlack() / directory.size,
       portOf: (node) => directory.portOf(node),
       ...(admission.type === 'trial' ? { onlyNode: admission.node } : {}),
-      mayRetry: () => quarantine.mayRepeat(call),
+      mayRetry: () => quarantine.mayRetry(call),
       onEnd: (end) => {
         this.noteDownstream(context, attemptId, end);
         this.onEnd(context, attemptId, end);
@@ -271,7 +271,7 @@
     const { parentOf, gateway } = this.options;
     const parentId = parentOf(attemptId);
     const { method, path } = this.exchange;
-    const fields = this.options.forwardedFields.ofCaller(this.exchange.fields);
+    const fields = this.options.forwardedFields.fromCaller(this.exchange.fields);
     const { requestId, service, kind, idempotent, depth, criticality } = context;
     return {
       attemptId,
@@ -281,7 +281,7 @@
       rank: rankOf(criticality),
       idempotent,
       depth,
-      repeated: parentId !== undefined && gateway.isRepeated(parentId),
+      repeated: parentId !== undefined && gateway.isRetry(parentId),
       committed: parentId !== undefined && gateway.isCommitted(parentId),
       timeLeftMs: 0,
       dueInMs: 0,
--- a/src/sidecar/entry/planned-stop.ts
+++ b/src/sidecar/entry/planned-stop.ts
@@ -15,7 +15,7 @@
  * stop sooner, since callers need longer than this to notice the stop. The target keeps running, and
  * without this time each stop of a node would leave its target idle for that long.
  */
-export const TARGET_WORKS_ON_MS = 1_300;
+export const TARGET_ACCEPT_TIME_MS = 1_300;
 /** Limit of this time as a share of the stop; applies to short stops. */
 const MAX_TARGET_ACCEPT_SHARE = 0.25;
 /** Callers can use another node at once; this delay spreads those that arrive together. */
@@ -49,7 +49,7 @@
 
 /** Time for which the target accepts new work during a stop of this length, in milliseconds. */
 export function targetAcceptTimeMs(stopMs: number): number {
-  return Math.min(TARGET_WORKS_ON_MS, stopMs * MAX_TARGET_ACCEPT_SHARE);
+  return Math.min(TARGET_ACCEPT_TIME_MS, stopMs * MAX_TARGET_ACCEPT_SHARE);
 }
 
 /** Failure of requests that are refused or abandoned because of the stop. */
--- a/src/sidecar/entry/routed-request.test.ts
+++ b/src/sidecar/entry/routed-request.test.ts
@@ -5,7 +5,7 @@
 import type { AttemptOutcome, RequestContext } from '../../core/request.js';
 import { ResultCode } from '../../core/result-code.js';
 import { ManualClock } from '../../kernel/clock.js';
-import { createNotOffered } from '../link/attempt-port.js';
+import { createNotOfferedFailure } from '../link/attempt-port.js';
 import type { AttemptCall, AttemptEnd } from '../link/link-messages.js';
 import { WindowedRetryBudget } from './windowed-retry-budget.js';
 import { RoutedRequest, type RequestEnd } from './routed-request.js';
@@ -176,7 +176,7 @@
   assert.equal(loaded.sent.length, 2);
   assert.deepEqual(loaded.executions(), ['not-run']);
   const leaving = new Scene({ idempotent: false });
-  const end = createNotOffered('draining', ResultCode.NoTargetAvailable, 'leaving');
+  const end = createNotOfferedFailure('draining', ResultCode.NoTargetAvailable, 'leaving');
   for (let count = 0; count < 5; count += 1) leaving.endAttempt(end);
   assert.equal(leaving.sent.length, 6);
   leaving.endAttempt(ANSWER);
--- a/src/sidecar/entry/routed-request.ts
+++ b/src/sidecar/entry/routed-request.ts
@@ -7,7 +7,11 @@
 import { ResultCode, type Execution } from '../../core/result-code.js';
 import type { CancelTimer, Clock } from '../../kernel/clock.js';
 import { ageAuthorization } from '../link/age-authorization.js';
-import { createNotOffered, type AttemptPort, type CancelTry } from '../link/attempt-port.js';
+import {
+  createNotOfferedFailure,
+  type AttemptPort,
+  type CancelAttempt,
+} from '../link/attempt-port.js';
 import type {
   AttemptAnswer,
   AttemptCall,
@@ -53,7 +57,7 @@
   readonly node: string;
   /** Local monotonic time at which it was sent, in milliseconds. */
   readonly startedAt: number;
-  cancel: CancelTry;
+  cancel: CancelAttempt;
 }
 
 /** One request, from its admission to its final result. */
@@ -133,7 +137,9 @@
     const port = portOf(node);
     if (port === undefined) {
       const detail = `node ${node} is no longer known`;
-      this.onAttemptEnd(createNotOffered('unreachable', ResultCode.NoTargetAvailable, detail));
+      this.onAttemptEnd(
+        createNotOfferedFailure('unreachable', ResultCode.NoTargetAvailable, detail),
+      );
       return;
     }
     current.cancel = port.dispatch(call, (end) => {
--- a/src/sidecar/forwarded-fields.test.ts
+++ b/src/sidecar/forwarded-fields.test.ts
@@ -40,7 +40,7 @@
   const fields = ['Host', 'h', 'Connection', 'close, X-Hop', 'X-Hop', '1', 'X-Odd', 'v'];
   const own = ['Attempt', 'a-1', 'Time-Left', '5', 'Expected', 'i-9'];
   const framing = ['Caller', 'forged', 'Content-Length', '3', 'Keep-Alive', 'timeout=5'];
-  const passed = forwarded.ofCaller([...fields, ...own, ...framing]);
+  const passed = forwarded.fromCaller([...fields, ...own, ...framing]);
   assert.deepEqual(passed, ['Host', 'h', 'X-Odd', 'v']);
 });
 
@@ -57,14 +57,14 @@
 
 test('the caller receives the fields of the answer and, once, the identity of its request', () => {
   const answered = ['Attempt', 'a-1', 'Signature', 's', 'Content-Length', '7'];
-  const passed = forwarded.ofTarget([...answered, 'Connection', 'close']);
+  const passed = forwarded.fromTarget([...answered, 'Connection', 'close']);
   assert.deepEqual(passed, ['Signature', 's']);
   assert.deepEqual(forwarded.toCaller(passed, 'a-1'), [...passed, 'attempt', 'a-1']);
 });
 
 test('a target receives the tenant and never the API key, whatever the caller sent', () => {
   const sent = ['Key', 'secret', 'KEY', 'secret-2', 'Tenant', 'forged', 'tEnAnT', 'forged-2'];
-  assert.deepEqual(forwarded.ofCaller([...sent, 'X-Odd', 'v']), ['X-Odd', 'v']);
+  assert.deepEqual(forwarded.fromCaller([...sent, 'X-Odd', 'v']), ['X-Odd', 'v']);
   const authorization = { tenant: 't', fingerprint: 'f', rulesVersion: 1, validForMs: 1 };
   const fields = forwarded.toTarget({ ...CALL, authorization }, 'i-1', 899.7);
   assert.deepEqual(fields.slice(-2), ['tenant', 't']);
--- a/src/sidecar/forwarded-fields.ts
+++ b/src/sidecar/forwarded-fields.ts
@@ -25,7 +25,7 @@
   }
 
   /** Returns the fields of a caller's request that are forwarded. */
-  ofCaller(fields: RawFields): RawFields {
+  fromCaller(fields: RawFields): RawFields {
     return filterFields(fields, this.ownRequestFields);
   }
 
@@ -51,7 +51,7 @@
   }
 
   /** Returns the fields of a target's answer that are forwarded. */
-  ofTarget(fields: RawFields): RawFields {
+  fromTarget(fields: RawFields): RawFields {
     return filterFields(fields, this.ownAnswerFields);
   }
 
--- a/src/sidecar/link/attempt-port.ts
+++ b/src/sidecar/link/attempt-port.ts
@@ -8,7 +8,7 @@
  *
  * @returns whether the target may have run it; false: the target has not run it and never will
  */
-export type CancelTry = () => boolean;
+export type CancelAttempt = () => boolean;
 
 export interface AttemptPort {
   /**
@@ -17,11 +17,11 @@
    * @param onEnd called exactly once, possibly before this returns, unless the attempt is cancelled first
    * @returns cancels the attempt and aborts its exchange with the target
    */
-  dispatch(call: AttemptCall, onEnd: (end: AttemptEnd) => void): CancelTry;
+  dispatch(call: AttemptCall, onEnd: (end: AttemptEnd) => void): CancelAttempt;
 }
 
 /** Creates the failure of an attempt that was never offered to a target. */
-export function createNotOffered(
+export function createNotOfferedFailure(
   outcome: AttemptOutcome,
   code: ResultCode,
   detail: string,
--- a/src/sidecar/link/link-codec.ts
+++ b/src/sidecar/link/link-codec.ts
@@ -4,7 +4,7 @@
  */
 import { deserialize, serialize, setInternalBufferSize } from 'bson';
 import type { AttemptOutcome, LoadReport } from '../../core/request.js';
-import type { RequestKey, TargetEnd } from '../../core/quarantine/suspect-table.js';
+import type { RequestKey, TargetCrash } from '../../core/quarantine/suspect-table.js';
 import type { Execution, ResultCode } from '../../core/result-code.js';
 import {
   quotaQueryFromDocument,
@@ -127,7 +127,7 @@
     case 'target-left':
       return { t: FrameCode.TargetLeft, l: message.incarnation };
     case 'target-ends':
-      return { t: FrameCode.TargetEnds, e: message.ends.map(targetEndToDocument) };
+      return { t: FrameCode.TargetEnds, e: message.ends.map(targetCrashToDocument) };
     case 'requests-cleared':
       return { t: FrameCode.RequestsCleared, f: message.requests.map(keyToText) };
   }
@@ -240,7 +240,7 @@
     case FrameCode.TargetLeft:
       return { type: 'target-left', incarnation: document['l'] as string };
     case FrameCode.TargetEnds:
-      return { type: 'target-ends', ends: targetEndsFromDocument(document) };
+      return { type: 'target-ends', ends: targetCrashesFromDocument(document) };
     case FrameCode.RequestsCleared:
       return { type: 'requests-cleared', requests: keysFromDocument(document['f']) };
     default:
@@ -248,11 +248,11 @@
   }
 }
 
-function targetEndToDocument({ target, ageMs, requests }: TargetEnd): Document {
+function targetCrashToDocument({ target, ageMs, requests }: TargetCrash): Document {
   return { l: target, a: Math.round(ageMs), f: requests.map(keyToText) };
 }
 
-function targetEndsFromDocument({ e: ends }: Document): readonly TargetEnd[] {
+function targetCrashesFromDocument({ e: ends }: Document): readonly TargetCrash[] {
   if (!Array.isArray(ends)) throw new TypeError('target ends are not an array');
   return (ends as Document[]).map(({ l: target, a: ageMs, f: requests }) => {
     if (typeof target !== 'string' || typeof ageMs !== 'number' || !(ageMs >= 0)) {
--- a/src/sidecar/link/link-messages.ts
+++ b/src/sidecar/link/link-messages.ts
@@ -2,7 +2,7 @@
 import type { AttemptOutcome, LoadReport } from '../../core/request.js';
 import type { Execution, ResultCode } from '../../core/result-code.js';
 import type { RulesConfirmation } from '../rules/rules-freshness.js';
-import type { QuotaQuestion, QuotaReply } from '../quota/quota-messages.js';
+import type { QuotaQuery, QuotaReply } from '../quota/quota-messages.js';
 import type { QuarantineUpdate } from '../quarantine/quarantine-update.js';
 
 /** Header fields in the format of Node.js `rawHeaders`: names and values alternate. */
@@ -127,7 +127,7 @@
       readonly question: number;
       readonly confirmation: RulesConfirmation;
     }
-  | { readonly type: 'quota-wanted'; readonly question: number; readonly wanted: QuotaQuestion }
+  | { readonly type: 'quota-wanted'; readonly question: number; readonly wanted: QuotaQuery }
   | { readonly type: 'quota-reply'; readonly question: number; readonly reply: QuotaReply }
   | { readonly type: 'rules-wanted' }
   | { readonly type: 'rules'; readonly document: Uint8Array }
--- a/src/sidecar/link/link-server.test.ts
+++ b/src/sidecar/link/link-server.test.ts
@@ -56,7 +56,7 @@
     rulesDocument: () => Buffer.from('{}'),
     quarantine: { currentUpdate: () => undefined, onUpdate: () => {} },
     quota: {
-      askQuota: ({ requests }, onReply) => {
+      queryQuota: ({ requests }, onReply) => {
         const grants = requests.map(({ tenant, waiting }) => ({
           tenant,
           granted: waiting,
@@ -67,7 +67,7 @@
     },
     rulesConfirmation: () => ({ version: 1, ageMs: clock.now() - CONFIRMED_AT_MS }),
     leftTargetOf: () => undefined,
-    onOwnTargetLeft: () => {},
+    onLocalTargetLeft: () => {},
     onPeerStatus: ({ rulesVersion }, requestRules) => {
       if (rulesVersion > 1) requestRules();
     },
--- a/src/sidecar/link/link-server.ts
+++ b/src/sidecar/link/link-server.ts
@@ -3,9 +3,9 @@
 import type { Clock } from '../../kernel/clock.js';
 import { ResultCode } from '../../core/result-code.js';
 import { ageAuthorization } from './age-authorization.js';
-import { createNotOffered, type AttemptPort, type CancelTry } from './attempt-port.js';
+import { createNotOfferedFailure, type AttemptPort, type CancelAttempt } from './attempt-port.js';
 import type { QuarantineExchange, QuarantineUpdate } from '../quarantine/quarantine-update.js';
-import type { QuotaPort, QuotaQuestion } from '../quota/quota-messages.js';
+import type { QuotaPort, QuotaQuery } from '../quota/quota-messages.js';
 import type { RulesConfirmation } from '../rules/rules-freshness.js';
 import type { AttemptCall, AttemptEnd, LinkMessage, NodeStatus } from './link-messages.js';
 import { LinkSocket } from './link-socket.js';
@@ -28,7 +28,7 @@
   /** Returns the recorded incarnation in which a node's target has left; undefined: none. */
   leftTargetOf(node: string): string | undefined;
   /** Called when another node reports that the local target has left in this incarnation. */
-  onOwnTargetLeft(incarnation: string): void;
+  onLocalTargetLeft(incarnation: string): void;
   /**
    * Called with the status of another node.
    *
@@ -84,7 +84,7 @@
 /** One connection from another node. */
 class IncomingLink {
   private socket: LinkSocket | undefined;
-  private readonly running = new Map<number, CancelTry>();
+  private readonly running = new Map<number, CancelAttempt>();
   private sentLeftIncarnation: string | undefined;
 
   constructor(
@@ -140,7 +140,7 @@
         this.options.onRules(message.document);
         break;
       case 'target-left':
-        this.options.onOwnTargetLeft(message.incarnation);
+        this.options.onLocalTargetLeft(message.incarnation);
         break;
       case 'target-ends':
       case 'requests-cleared':
@@ -163,7 +163,7 @@
     const transitMs = this.options.clock.now() - sentAt;
     if (transitMs > MAX_TRANSIT_MS) {
       const detail = `the call took ${Math.round(transitMs)} ms in transit`;
-      const end = createNotOffered('unreachable', ResultCode.DeadlineUnreachable, detail);
+      const end = createNotOfferedFailure('unreachable', ResultCode.DeadlineUnreachable, detail);
       this.sendEnd(id, end, call);
       return;
     }
@@ -196,8 +196,8 @@
     this.send(confirmation === undefined ? message : { ...message, confirmation });
   }
 
-  private forwardQuotaQuery(question: number, wanted: QuotaQuestion): void {
-    this.options.quota.askQuota(wanted, (reply) => {
+  private forwardQuotaQuery(question: number, wanted: QuotaQuery): void {
+    this.options.quota.queryQuota(wanted, (reply) => {
       this.send({ type: 'quota-reply', question, reply });
     });
   }
--- a/src/sidecar/link/peer-link.test.ts
+++ b/src/sidecar/link/peer-link.test.ts
@@ -55,7 +55,7 @@
         reachable = now;
       },
       onRules: () => {},
-      onOwnTargetLeft: () => {},
+      onLocalTargetLeft: () => {},
       onRulesConfirmation: (confirmation, requestedAt) => {
         confirmations.push([confirmation.ageMs, requestedAt]);
       },
--- a/src/sidecar/link/peer-link.ts
+++ b/src/sidecar/link/peer-link.ts
@@ -9,11 +9,11 @@
 import { ageAuthorization } from './age-authorization.js';
 import {
   createAttemptFailure,
-  createNotOffered,
+  createNotOfferedFailure,
   type AttemptPort,
-  type CancelTry,
+  type CancelAttempt,
 } from './attempt-port.js';
-import type { OnQuotaReply, QuotaPort, QuotaQuestion } from '../quota/quota-messages.js';
+import type { OnQuotaReply, QuotaPort, QuotaQuery } from '../quota/quota-messages.js';
 import type { RulesConfirmation } from '../rules/rules-freshness.js';
 import type { QuarantineExchange, QuarantineUpdate } from '../quarantine/quarantine-update.js';
 import type {
@@ -54,7 +54,7 @@
   onReachableChanged(reachable: boolean, detail: string): void;
   onRules(document: Uint8Array): void;
   /** Called when the other node reports that the local target has left in this incarnation. */
-  onOwnTargetLeft(incarnation: string): void;
+  onLocalTargetLeft(incarnation: string): void;
   /**
    * Called when the other node reports how recently its rules were confirmed.
    *
@@ -128,12 +128,12 @@
   }
 
   /** Whether calls may be dispatched: the link is reachable, or connects for the first time. */
-  get isPromising(): boolean {
+  get isReachableOrConnecting(): boolean {
     return this.reachable || (this.phase === 'connecting' && !this.failed);
   }
 
   /** Whether the last connection failed or the other node is unresponsive. */
-  get isOutOfReach(): boolean {
+  get isKnownUnreachable(): boolean {
     return this.failed || this.unresponsive;
   }
 
@@ -158,7 +158,7 @@
   }
 
   /** Sends a quota query; `onReply` is never called when the connection is lost first. */
-  askQuota(wanted: QuotaQuestion, onReply: OnQuotaReply): void {
+  queryQuota(wanted: QuotaQuery, onReply: OnQuotaReply): void {
     if (this.phase !== 'open') return;
     this.lastId += 1;
     this.quotaQueries.set(this.lastId, onReply);
@@ -175,10 +175,10 @@
     if (this.phase === 'open') this.socket?.send(update);
   }
 
-  dispatch(call: AttemptCall, onEnd: (end: AttemptEnd) => void): CancelTry {
+  dispatch(call: AttemptCall, onEnd: (end: AttemptEnd) => void): CancelAttempt {
     if (this.closed || this.socket?.hasRoom === false) {
       onEnd(
-        createNotOffered(
+        createNotOfferedFailure(
           'unreachable',
           ResultCode.PeerUnreachable,
           'the link is closed or its send buffer is full',
@@ -240,7 +240,7 @@
         this.sendRules();
         break;
       case 'target-left':
-        this.options.listener.onOwnTargetLeft(message.incarnation);
+        this.options.listener.onLocalTargetLeft(message.incarnation);
         break;
       case 'target-ends':
       case 'requests-cleared':
@@ -474,5 +474,5 @@
 
 /** Creates the failure of a call that was never written. */
 function createUnsentFailure(detail: string): AttemptFailure {
-  return createNotOffered('unreachable', ResultCode.PeerUnreachable, detail);
+  return createNotOfferedFailure('unreachable', ResultCode.PeerUnreachable, detail);
 }
--- a/src/sidecar/link/quota-codec.ts
+++ b/src/sidecar/link/quota-codec.ts
@@ -1,6 +1,6 @@
 /** BSON encoding of queries for quota grants of tenants and of their replies. */
 import type { QuotaGrant, QuotaRequest } from '../../core/quota/quota-counter.js';
-import type { QuotaQuestion, QuotaReply } from '../quota/quota-messages.js';
+import type { QuotaQuery, QuotaReply } from '../quota/quota-messages.js';
 
 type Document = Record<string, unknown>;
 
@@ -10,13 +10,13 @@
 const NUMBER_BYTES = 4;
 
 /** Returns the document members of a query. */
-export function quotaQueryToDocument({ group, requests }: QuotaQuestion): Document {
+export function quotaQueryToDocument({ group, requests }: QuotaQuery): Document {
   const numbers = requests.flatMap(({ waiting, ahead, returned }) => [waiting, ahead, returned]);
   return { r: group, n: requests.map(({ tenant }) => tenant), c: toBytes(numbers) };
 }
 
 /** Decodes a query; throws when it is malformed. */
-export function quotaQueryFromDocument({ r: group, n, c }: Document): QuotaQuestion {
+export function quotaQueryFromDocument({ r: group, n, c }: Document): QuotaQuery {
   if (typeof group !== 'number') throw new TypeError('quota query without group');
   const tenants = readTenants(n);
   const numbers = readNumbers(c, tenants.length * VALUES_PER_REQUEST);
--- a/src/sidecar/plugins/directory-plugin.ts
+++ b/src/sidecar/plugins/directory-plugin.ts
@@ -4,7 +4,7 @@
 import { Token } from '../../kernel/token.js';
 import { NodeDirectory } from '../directory/node-directory.js';
 import { NODE_RECORD_PREFIX } from '../directory/node-record.js';
-import { gatherRecordsMs, waitForChangesMs } from '../directory/watch-timing.js';
+import { recordBatchPauseMs, waitForChangesMs } from '../directory/watch-timing.js';
 import { PrefixWatch } from '../directory/prefix-watch.js';
 import { seedOf } from '../seed.js';
 import { SidecarOrder, SidecarToken } from './tokens.js';
@@ -48,8 +48,8 @@
           onOwnRecordLost: () => {
             get(SidecarToken.Publisher).writeAgain();
           },
-          onOwnTargetLeft: (incarnation) => {
-            get(SidecarToken.TargetLifecycle).onLeftBefore(incarnation);
+          onLocalTargetLeft: (incarnation) => {
+            get(SidecarToken.TargetLifecycle).onPeerReportedLeft(incarnation);
           },
         });
       });
@@ -65,7 +65,7 @@
           random: createRandom(seedOf(`${get(SidecarToken.Settings).node.id} nodes`)),
           waitMs: () => waitForChangesMs(directory.size, MIN_WAIT_MS),
           // Changes often come together: after a pause one call returns many. Urgent ones are sent over links.
-          pauseAfterEventsMs: () => gatherRecordsMs(directory.size),
+          pauseAfterEventsMs: () => recordBatchPauseMs(directory.size),
           onListing: (items) => {
             directory.replaceAll(items);
           },
--- a/src/sidecar/plugins/link-plugin.ts
+++ b/src/sidecar/plugins/link-plugin.ts
@@ -40,8 +40,8 @@
               return tenants && get(SidecarToken.RulesFreshness).confirmation;
             },
             leftTargetOf: (node) => get(SidecarToken.Directory).leftTargetOf(node),
-            onOwnTargetLeft: (incarnation) => {
-              get(SidecarToken.TargetLifecycle).onLeftBefore(incarnation);
+            onLocalTargetLeft: (incarnation) => {
+              get(SidecarToken.TargetLifecycle).onPeerReportedLeft(incarnation);
             },
             onPeerStatus: ({ rulesVersion }, requestRules) => {
               get(SidecarToken.PeerRulesFetch).onPeerVersion(rulesVersion, requestRules);
--- a/src/sidecar/plugins/rules-plugin.ts
+++ b/src/sidecar/plugins/rules-plugin.ts
@@ -120,10 +120,10 @@
   return new FreshnessRefresher({
     clock: get(Token.Clock),
     freshness: get(SidecarToken.RulesFreshness),
-    place: createRandom(seedOf(`${node.id} freshness`)).next(),
+    refreshPosition: createRandom(seedOf(`${node.id} freshness`)).next(),
     isNeeded: () => get(SidecarToken.Rules).table?.tenants !== undefined,
     isStoreAvailable: () => get(SidecarToken.RulesWatch).isAvailable,
-    askStore: () => get(SidecarToken.RulesWatch).check(),
-    askPeers: () => get(SidecarToken.Directory).requestConfirmations(),
+    queryStore: () => get(SidecarToken.RulesWatch).check(),
+    queryPeers: () => get(SidecarToken.Directory).requestConfirmations(),
   });
 }
--- a/src/sidecar/plugins/target-plugin.ts
+++ b/src/sidecar/plugins/target-plugin.ts
@@ -120,7 +120,7 @@
       const path = get(SidecarToken.Rules).table?.rules.services.get(service)?.healthPath;
       return path === undefined ? undefined : await gateway.probe(path, timeoutMs);
     },
-    hearPeers: () => get(SidecarToken.Directory).hearPeers(),
+    waitForPeerReports: () => get(SidecarToken.Directory).waitForPeerReports(),
     onChanged: (target: RegisteredTarget | undefined) => {
       gateway.setTarget(target);
       get(SidecarToken.LinkServer).announceStatus();
--- a/src/sidecar/quarantine/quarantine-update.ts
+++ b/src/sidecar/quarantine/quarantine-update.ts
@@ -1,9 +1,9 @@
 /** Messages between nodes about requests during which targets crashed. */
-import type { RequestKey, TargetEnd } from '../../core/quarantine/suspect-table.js';
+import type { RequestKey, TargetCrash } from '../../core/quarantine/suspect-table.js';
 
 /** Reports crashes of targets, or suspect requests that a target has since answered. */
 export type QuarantineUpdate =
-  | { readonly type: 'target-ends'; readonly ends: readonly TargetEnd[] }
+  | { readonly type: 'target-ends'; readonly ends: readonly TargetCrash[] }
   | { readonly type: 'requests-cleared'; readonly requests: readonly RequestKey[] };
 
 /** Sends an update to one node; may do nothing when the node is unreachable. */
--- a/src/sidecar/quarantine/request-quarantine.test.ts
+++ b/src/sidecar/quarantine/request-quarantine.test.ts
@@ -67,7 +67,7 @@
   /** Lets the targets of nodes crash while they run a request. */
   crash(call: AttemptCall, ...indexes: number[]): void {
     for (const index of indexes) {
-      this.nodes[index]!.noteTargetEnd(`incarnation of ${index}`, [keyOfCall(call)]);
+      this.nodes[index]!.noteTargetCrash(`incarnation of ${index}`, [keyOfCall(call)]);
     }
   }
 
@@ -125,10 +125,10 @@
 
 test('a request may be retried after one crash, and not after two', () => {
   ring.crash(CAUSE, 0);
-  assert.ok(ring.nodes[3]!.mayRepeat(CAUSE));
+  assert.ok(ring.nodes[3]!.mayRetry(CAUSE));
   assert.equal(ring.nodes[3]!.admit(CAUSE).type, 'routed');
   ring.crash(CAUSE, 1);
-  assert.ok(!ring.nodes[3]!.mayRepeat(CAUSE));
+  assert.ok(!ring.nodes[3]!.mayRetry(CAUSE));
   assert.equal(refusalOf(ring.nodes[3]!.admit(CAUSE))?.code, ResultCode.RequestQuarantined);
 });
 
--- a/src/sidecar/quarantine/request-quarantine.ts
+++ b/src/sidecar/quarantine/request-quarantine.ts
@@ -5,10 +5,10 @@
  */
 import { createFailure, type Failure } from '../../core/failure.js';
 import {
-  HELD_ENDS,
+  HELD_CRASHES,
   SuspectTable,
   type RequestKey,
-  type TargetEnd,
+  type TargetCrash,
   type Verdict,
 } from '../../core/quarantine/suspect-table.js';
 import { ResultCode } from '../../core/result-code.js';
@@ -81,13 +81,13 @@
   }
 
   /** Whether a request may be sent to another target after one target failed it. */
-  mayRepeat(call: AttemptCall): boolean {
+  mayRetry(call: AttemptCall): boolean {
     if (this.table.size === 0) return true;
-    return this.table.endsOf(keyOfCall(call)) < HELD_ENDS;
+    return this.table.countCrashes(keyOfCall(call)) < HELD_CRASHES;
   }
 
   /** Records that the local target crashed while it ran these requests, and broadcasts it. */
-  noteTargetEnd(target: string, requests: readonly RequestKey[]): void {
+  noteTargetCrash(target: string, requests: readonly RequestKey[]): void {
     const crash = { target, ageMs: 0, requests };
     const added = this.recordCrash(crash);
     this.options.log.emit(Event.TargetEnded, {
@@ -107,7 +107,7 @@
   noteServed(call: AttemptCall): void {
     const key = keyOfCall(call);
     // Other nodes let suspicions of a single crash expire: most of these requests are never sent again.
-    if (this.clear(key) < HELD_ENDS) return;
+    if (this.clear(key) < HELD_CRASHES) return;
     this.options.broadcast({ type: 'requests-cleared', requests: [key] });
   }
 
@@ -115,7 +115,7 @@
     const now = this.options.clock.now();
     this.table.expire(now);
     if (this.table.size === 0) return undefined;
-    return { type: 'target-ends', ends: this.table.ends(now) };
+    return { type: 'target-ends', ends: this.table.crashes(now) };
   }
 
   onUpdate(update: QuarantineUpdate, reply: SendUpdate): void {
@@ -123,7 +123,7 @@
     else this.onCleared(update.requests);
   }
 
-  private onCrashes(crashes: readonly TargetEnd[], reply: SendUpdate): void {
+  private onCrashes(crashes: readonly TargetCrash[], reply: SendUpdate): void {
     this.table.expire(this.options.clock.now());
     const all = crashes.flatMap(({ requests }) => requests);
     const cleared = all.filter((request) => this.table.isServed(request));
@@ -141,9 +141,9 @@
   }
 
   /** Records a crash; returns the requests for which it was not known before. */
-  private recordCrash(crash: TargetEnd): readonly RequestKey[] {
+  private recordCrash(crash: TargetCrash): readonly RequestKey[] {
     const now = this.options.clock.now();
-    const added = this.table.noteEnd(now, crash);
+    const added = this.table.noteCrash(now, crash);
     for (const request of added) {
       const verdict = this.table.check(now, request);
       if (verdict.type !== 'free') this.logVerdict(request, verdict);
@@ -167,7 +167,7 @@
 
   private clear(request: RequestKey): number {
     const ends = this.table.noteServed(request);
-    if (ends >= HELD_ENDS) {
+    if (ends >= HELD_CRASHES) {
       this.options.log.emit(Event.QuarantineLifted, {
         request: request.content,
         caller: request.caller,
--- a/src/sidecar/quota/quota-counting.ts
+++ b/src/sidecar/quota/quota-counting.ts
@@ -10,7 +10,7 @@
 import type { MetadataStore } from '../../store/metadata-store.js';
 import { QUOTA_GROUPS } from './quota-groups.js';
 import { QuotaLease } from './quota-lease.js';
-import type { OnQuotaReply, QuotaPort, QuotaQuestion } from './quota-messages.js';
+import type { OnQuotaReply, QuotaPort, QuotaQuery } from './quota-messages.js';
 
 export interface QuotaCountingOptions {
   readonly node: string;
@@ -37,7 +37,7 @@
     this.groups = Array.from({ length: QUOTA_GROUPS }, (_, group) => this.createGroup(group));
   }
 
-  askQuota(query: QuotaQuestion, onReply: OnQuotaReply): void {
+  queryQuota(query: QuotaQuery, onReply: OnQuotaReply): void {
     const group = this.groups[query.group];
     if (group === undefined) onReply({ type: 'not-counting' });
     else if (group.lease.isHeld) onReply(this.reply(group, query));
@@ -75,17 +75,14 @@
 
   private async acquireThenReply(
     group: Group,
-    query: QuotaQuestion,
+    query: QuotaQuery,
     onReply: OnQuotaReply,
   ): Promise<void> {
     await group.lease.acquire();
     onReply(this.reply(group, query));
   }
 
-  private reply(
-    { lease, counter }: Group,
-    { requests }: QuotaQuestion,
-  ): Parameters<OnQuotaReply>[0] {
+  private reply({ lease, counter }: Group, { requests }: QuotaQuery): Parameters<OnQuotaReply>[0] {
     if (lease.isHeld) {
       return { type: 'grants', grants: requests.map((request) => this.grant(counter, request)) };
     }
--- a/src/sidecar/quota/quota-lease.test.ts
+++ b/src/sidecar/quota/quota-lease.test.ts
@@ -30,7 +30,7 @@
     return Promise.resolve(Result.ok({ id, ttlMs }));
   }
 
-  keepLease(id: string): ReturnType<MetadataStore['keepLease']> {
+  renewLease(id: string): ReturnType<MetadataStore['renewLease']> {
     return Promise.resolve(
       this.isUnavailable ? Result.err(UNAVAILABLE) : Result.ok(this.leases.has(id)),
     );
--- a/src/sidecar/quota/quota-lease.ts
+++ b/src/sidecar/quota/quota-lease.ts
@@ -109,7 +109,7 @@
   /** Continues a lease that this process or an earlier process of this node holds. */
   private async adopt(item: StoreItem, askedAt: number): Promise<void> {
     if (item.lease === undefined) return;
-    const kept = await this.options.store.keepLease(item.lease);
+    const kept = await this.options.store.renewLease(item.lease);
     if (kept.isOk && kept.value) this.onHeld(item.lease, item.revision, askedAt);
   }
 
@@ -161,7 +161,7 @@
     const { lease } = this;
     if (this.closed || lease === undefined) return;
     const askedAt = this.options.clock.bootNow();
-    const kept = await this.options.store.keepLease(lease);
+    const kept = await this.options.store.renewLease(lease);
     if (lease !== this.lease) return;
     if (kept.isOk && !kept.value) {
       this.lose('the lease has expired');
--- a/src/sidecar/quota/quota-messages.ts
+++ b/src/sidecar/quota/quota-messages.ts
@@ -2,7 +2,7 @@
 import type { QuotaGrant, QuotaRequest } from '../../core/quota/quota-counter.js';
 
 /** Asks for grants for requests of one group's tenants. */
-export interface QuotaQuestion {
+export interface QuotaQuery {
   readonly group: number;
   readonly requests: readonly QuotaRequest[];
 }
@@ -18,5 +18,5 @@
 
 /** Destination of queries: the counting of this node, or a link to another node. */
 export interface QuotaPort {
-  askQuota(question: QuotaQuestion, onReply: OnQuotaReply): void;
+  queryQuota(question: QuotaQuery, onReply: OnQuotaReply): void;
 }
--- a/src/sidecar/quota/tenant-quotas.ts
+++ b/src/sidecar/quota/tenant-quotas.ts
@@ -45,8 +45,8 @@
   }
 
   /** Returns the grant of a request that was not run. */
-  giveBack(token: QuotaToken): void {
-    this.groups[groupOfTenant(token.tenant)]!.share.giveBack(token);
+  returnGrant(token: QuotaToken): void {
+    this.groups[groupOfTenant(token.tenant)]!.share.returnGrant(token);
   }
 
   /** Sends no further queries. */
@@ -102,7 +102,7 @@
 
   private sendQuery(): void {
     if (this.closed || this.current !== undefined) return;
-    this.share.endWaits();
+    this.share.expireWaits();
     const requests = this.share.createRequests();
     if (requests.length === 0) return;
     const node = this.chooseNode();
@@ -116,7 +116,7 @@
     this.current = query;
     const askedAt = this.options.clock.bootNow();
     this.scheduleTimeout(query, node);
-    port.askQuota({ group: this.group, requests }, (reply) => {
+    port.queryQuota({ group: this.group, requests }, (reply) => {
       if (this.current === query) this.onReply(node, reply, askedAt);
     });
   }
@@ -153,7 +153,7 @@
     if (node !== undefined) this.skippedNodes.add(node);
     if (this.holder === node) this.holder = undefined;
     this.endQuery();
-    this.share.onNoAnswer();
+    this.share.onNoReply();
     this.scheduleQuery();
   }
 
--- a/src/sidecar/rules/freshness-refresher.test.ts
+++ b/src/sidecar/rules/freshness-refresher.test.ts
@@ -25,15 +25,15 @@
   refresher = new FreshnessRefresher({
     clock,
     freshness,
-    place: 0.5,
+    refreshPosition: 0.5,
     isNeeded: () => needed,
     isStoreAvailable: () => storeAvailable,
-    askStore: () => {
+    queryStore: () => {
       storeQueries += 1;
       if (storeAnswers) freshness.confirm(1, clock.bootNow());
       return Promise.resolve(storeAnswers);
     },
-    askPeers: () => {
+    queryPeers: () => {
       peerQueries += 1;
       if (peerAgeMs !== undefined) {
         freshness.confirmByPeer({ version: 1, ageMs: peerAgeMs }, clock.bootNow());
--- a/src/sidecar/rules/freshness-refresher.ts
+++ b/src/sidecar/rules/freshness-refresher.ts
@@ -24,19 +24,19 @@
   readonly clock: Clock;
   readonly freshness: RulesFreshness;
   /** Position of this node in the order in which nodes refresh, from 0 (first) to 1 (last). */
-  readonly place: number;
+  readonly refreshPosition: number;
   /** Whether the rules in force need confirmations. */
   isNeeded(): boolean;
   /** Whether the store is available to this node. */
   isStoreAvailable(): boolean;
   /** Asks the store; resolves with whether it answered. */
-  askStore(): Promise<boolean>;
+  queryStore(): Promise<boolean>;
   /**
    * Asks some other nodes; their replies arrive later.
    *
    * @returns the number of nodes asked
    */
-  askPeers(): number;
+  queryPeers(): number;
 }
 
 export class FreshnessRefresher {
@@ -67,8 +67,8 @@
 
   /** Age at which the confirmation is refreshed, in milliseconds. */
   private refreshAfterMs(): number {
-    const { freshness, place } = this.options;
-    const spreadMs = REFRESH_SPREAD_MS * place;
+    const { freshness, refreshPosition } = this.options;
+    const spreadMs = REFRESH_SPREAD_MS * refreshPosition;
     const { maxAgeMs } = freshness;
     const isIdle = freshness.unusedMs > IDLE_AFTER_MS && Number.isFinite(maxAgeMs);
     const inUseMs = FIRST_REFRESH_MS + spreadMs;
@@ -76,11 +76,11 @@
   }
 
   private async refresh(): Promise<void> {
-    const { askPeers, askStore, clock, freshness, isStoreAvailable } = this.options;
+    const { queryPeers, queryStore, clock, freshness, isStoreAvailable } = this.options;
     this.refreshing = true;
-    if (askPeers() > 0) await pause(clock, PEER_REPLY_WAIT_MS);
+    if (queryPeers() > 0) await pause(clock, PEER_REPLY_WAIT_MS);
     const isFresh = (): boolean => freshness.ageMs() < this.refreshAfterMs();
-    if (!isFresh() && isStoreAvailable() && !this.closed) await askStore();
+    if (!isFresh() && isStoreAvailable() && !this.closed) await queryStore();
     this.refreshing = false;
     this.checkAfter(isFresh() ? this.refreshAfterMs() - freshness.ageMs() : RETRY_MS);
   }
--- a/src/sidecar/target/target-gateway.ts
+++ b/src/sidecar/target/target-gateway.ts
@@ -17,9 +17,9 @@
 } from '../directory/target-registration.js';
 import {
   createAttemptFailure,
-  createNotOffered,
+  createNotOfferedFailure,
   type AttemptPort,
-  type CancelTry,
+  type CancelAttempt,
 } from '../link/attempt-port.js';
 import type {
   AttemptCall,
@@ -131,7 +131,7 @@
     return client.probe(path, fields.targetId, timeoutMs);
   }
 
-  dispatch(call: AttemptCall, onEnd: (end: AttemptEnd) => void): CancelTry {
+  dispatch(call: AttemptCall, onEnd: (end: AttemptEnd) => void): CancelAttempt {
     const refusal = this.checkOpen(call);
     const { gate } = this;
     if (refusal !== undefined || gate === undefined) {
@@ -165,7 +165,7 @@
   }
 
   /** Whether the attempt of this identity is a retry, so that its calls count as retries. */
-  isRepeated(attemptId: string): boolean {
+  isRetry(attemptId: string): boolean {
     return this.byAttempt.get(attemptId)?.call.repeated ?? false;
   }
 
@@ -210,12 +210,12 @@
   private checkOpen(call: AttemptCall): AttemptFailure | undefined {
     if (call.service !== this.options.service) {
       const detail = `this node fronts ${this.options.service}`;
-      return createNotOffered('unreachable', ResultCode.NoTargetAvailable, detail);
+      return createNotOfferedFailure('unreachable', ResultCode.NoTargetAvailable, detail);
     }
     if (this.target === undefined) return this.createUnregisteredFailure();
     if (this.stopping || this.target.state === 'leaving') return createLeavingFailure();
     if (call.timeLeftMs <= 0) {
-      return createNotOffered('overloaded', ResultCode.DeadlineExceeded, 'no time left');
+      return createNotOfferedFailure('overloaded', ResultCode.DeadlineExceeded, 'no time left');
     }
     return this.checkAuthorization(call.authorization, 0) ?? this.checkQuarantine(call);
   }
@@ -232,7 +232,7 @@
     const { validForMs } = authorization;
     const refusal = this.options.recheckAuthorization(authorization, validForMs - waitedMs);
     if (refusal === undefined) return undefined;
-    return createNotOffered('cancelled', refusal.code, refusal.detail, refusal.retryAfterMs);
+    return createNotOfferedFailure('cancelled', refusal.code, refusal.detail, refusal.retryAfterMs);
   }
 
   /** Refuses with the outcome `cancelled`, for the same reason as {@link checkAuthorization}. */
@@ -240,12 +240,12 @@
     const refusal = this.options.quarantine.admitRun(call);
     if (refusal === undefined) return undefined;
     const { code, detail, retryAfterMs } = refusal;
-    return createNotOffered('cancelled', code, detail, retryAfterMs);
+    return createNotOfferedFailure('cancelled', code, detail, retryAfterMs);
   }
 
   private createUnregisteredFailure(): AttemptFailure {
     const code = ResultCode.NoTargetAvailable;
-    return createNotOffered(
+    return createNotOfferedFailure(
       'unreachable',
       code,
       'no target has registered',
@@ -277,7 +277,7 @@
         this.client?.refusesConnections(CRASH_CHECK_TIMEOUT_MS) ?? Promise.resolve(false),
       isRunningSince: (time) => this.isRunningSince(time),
       onCrash: (requests) => {
-        quarantine.noteTargetEnd(incarnation, requests);
+        quarantine.noteTargetCrash(incarnation, requests);
       },
     });
   }
@@ -378,14 +378,14 @@
     if (status === MISDIRECTED_REQUEST || headers[notExecuted] !== undefined) {
       return createRefusedByTargetFailure(status);
     }
-    return { type: 'answer', status, fields: forwardedFields.ofTarget(fields), body };
+    return { type: 'answer', status, fields: forwardedFields.fromTarget(fields), body };
   }
 
   private refuse(ticketId: number, { code, detail, retryAfterMs }: Refusal): void {
     const ticket = this.take(ticketId);
     if (ticket === undefined) return;
     const load = ticket.gate.report(this.options.clock.now(), ticket.context);
-    ticket.onEnd({ ...createNotOffered('overloaded', code, detail, retryAfterMs), load });
+    ticket.onEnd({ ...createNotOfferedFailure('overloaded', code, detail, retryAfterMs), load });
   }
 
   private cancel(ticketId: number): boolean {
@@ -469,7 +469,7 @@
 
 function createLeavingFailure(): AttemptFailure {
   const code = ResultCode.NoTargetAvailable;
-  return createNotOffered('draining', code, 'the target is leaving', LEAVING_RETRY_AFTER_MS);
+  return createNotOfferedFailure('draining', code, 'the target is leaving', LEAVING_RETRY_AFTER_MS);
 }
 
 function createRefusedByTargetFailure(status: number): AttemptFailure {
--- a/src/stand-ins/workload.ts
+++ b/src/stand-ins/workload.ts
@@ -4,7 +4,7 @@
  */
 import type { Result } from 'true-myth';
 import { z } from 'zod';
-import { parseAndValidate } from '../config/document.js';
+import { parseAndValidate } from '../config/parse-document.js';
 import type { Failure } from '../core/failure.js';
 import { ResultCode } from '../core/result-code.js';
 
--- a/src/store/metadata-store.ts
+++ b/src/store/metadata-store.ts
@@ -104,7 +104,7 @@
   /** Requests a lease. */
   grantLease(ttlMs: number): Promise<Result<StoreLease, StoreFailure>>;
   /** Renews a lease; false when it has ended. */
-  keepLease(id: string): Promise<Result<boolean, StoreFailure>>;
+  renewLease(id: string): Promise<Result<boolean, StoreFailure>>;
   /** Ends all pending operations. */
   close(): void;
 }
--- a/src/store/store-backoff.test.ts
+++ b/src/store/store-backoff.test.ts
@@ -20,7 +20,7 @@
   onCall: () => void,
 ): Promise<void> {
   for (;;) {
-    await backoff.turn();
+    await backoff.waitForTurn();
     onCall();
     if (isUp()) {
       backoff.noteAnswered();
@@ -39,9 +39,9 @@
 
 test('no caller waits while the store answers', async () => {
   const backoff = new StoreBackoff(new ManualClock(), NO_JITTER);
-  await backoff.turn();
+  await backoff.waitForTurn();
   backoff.noteAnswered();
-  await backoff.turn();
+  await backoff.waitForTurn();
 });
 
 test('two callers together call no more often than one during an outage', async () => {
@@ -87,14 +87,14 @@
   const clock = new ManualClock();
   const backoff = new StoreBackoff(clock, NO_JITTER);
   backoff.noteFailed();
-  const first = backoff.turn();
+  const first = backoff.waitForTurn();
   await advance(clock, 50);
   await first;
   backoff.noteAnswered();
   await advance(clock, 1_010);
   backoff.noteAnswered();
   backoff.noteFailed();
-  const second = backoff.turn();
+  const second = backoff.waitForTurn();
   await advance(clock, 50);
   await second;
 });
@@ -106,9 +106,9 @@
   let stopped = false;
   const watch = async (): Promise<void> => {
     while (!stopped) {
-      await backoff.turn();
+      await backoff.waitForTurn();
       backoff.noteAnswered();
-      await backoff.turn();
+      await backoff.waitForTurn();
       refusedCount += 1;
       backoff.noteFailed();
     }
@@ -124,8 +124,8 @@
   const clock = new ManualClock();
   const backoff = new StoreBackoff(clock, NO_JITTER);
   backoff.noteFailed();
-  const hanging = backoff.turn();
-  const other = backoff.turn();
+  const hanging = backoff.waitForTurn();
+  const other = backoff.waitForTurn();
   await advance(clock, 50);
   await hanging;
   await advance(clock, 100);
--- a/src/store/store-backoff.ts
+++ b/src/store/store-backoff.ts
@@ -39,7 +39,7 @@
   ) {}
 
   /** Resolves when the caller may call the store: at once while the store answers. */
-  turn(): Promise<void> {
+  waitForTurn(): Promise<void> {
     if (!this.failing) return Promise.resolve();
     return new Promise((resolve) => {
       this.waiting.push(resolve);
--- a/src/target/local-target-dispatcher.ts
+++ b/src/target/local-target-dispatcher.ts
@@ -86,7 +86,7 @@
   }
 
   returnAttempts(parentAttemptId: string, unused: number): void {
-    this.ledger.giveBack(parentAttemptId, unused);
+    this.ledger.release(parentAttemptId, unused);
   }
 
   findParent(parentAttemptId: string): ParentAttempt | undefined {
--- a/src/target/target-task.test.ts
+++ b/src/target/target-task.test.ts
@@ -127,7 +127,7 @@
   const bench = createBench();
   const result = bench.offer();
   assert.equal(bench.ledger.reserve('a.1.1', 9), 2);
-  bench.ledger.giveBack('a.1.1', 1);
+  bench.ledger.release('a.1.1', 1);
   bench.calls[0]?.end(ANSWER);
   assert.equal((await result).attemptsUsed, 2);
   assert.equal(bench.ledger.reserve('a.1.1', 1), 0);
--- a/src/trials/configuration.process.test.ts
+++ b/src/trials/configuration.process.test.ts
@@ -43,7 +43,7 @@
 }
 
 async function reportTime(context: TestContext): Promise<void> {
-  const tookMs = await fleet.untilInForce(accepted);
+  const tookMs = await fleet.waitInForce(accepted);
   context.diagnostic(
     `revision ${accepted} in force everywhere ${Math.round(tookMs)} ms after the response`,
   );
@@ -132,7 +132,7 @@
     run: async () => {
       await apply(findNode('zone-a'), 'op-replaced');
       await fleet.platform.control({ outage: 'hang' });
-      await fleet.untilInForce(accepted);
+      await fleet.waitInForce(accepted);
       await findNode('zone-a').process.stop('SIGKILL');
       const replacement = await fleet.startNode('a3', 'zone-a');
       assert.equal(await replacement.admin.revisionInForce(TENANT), accepted);
@@ -149,7 +149,7 @@
     await run();
     await reportTime(context);
     await end?.();
-    assert.deepEqual(fleet.falls, []);
+    assert.deepEqual(fleet.revisionDecreases, []);
   });
 }
 
--- a/src/trials/membership-benchmark.ts
+++ b/src/trials/membership-benchmark.ts
@@ -106,7 +106,7 @@
         node.id === 'node-1' ||
         protocol.members().some(({ configVersion }) => configVersion === CONFIG_VERSION);
       if (!isInformed) everywhere = false;
-      else fleet.act(node, (now) => protocol.update(now, { configVersion: CONFIG_VERSION }));
+      else fleet.applyInput(node, (now) => protocol.update(now, { configVersion: CONFIG_VERSION }));
     }
     return everywhere;
   };
@@ -123,7 +123,7 @@
 
 function leave(fleet: SimulatedFleet, id: string): number {
   const leavingNode = fleet.node(id);
-  fleet.act(leavingNode, (now) => leavingNode.protocol.leave(now));
+  fleet.applyInput(leavingNode, (now) => leavingNode.protocol.leave(now));
   const isKnown = (): boolean =>
     fleet.running().every(({ protocol }) => protocol.find(id)?.state === 'leaving');
   return fleet.runUntil(isKnown, MAX_WAIT_MS, STEP_MS);
--- a/src/trials/simulated-fleet.ts
+++ b/src/trials/simulated-fleet.ts
@@ -76,7 +76,7 @@
     this.addNodes(count);
     const updates = this.running().flatMap(({ id, protocol }) => protocol.listFacts([id]));
     for (const node of this.running()) {
-      this.act(node, (now) => node.protocol.onSyncReply(now, 'node-1', updates));
+      this.applyInput(node, (now) => node.protocol.onSyncReply(now, 'node-1', updates));
     }
   }
 
@@ -114,7 +114,7 @@
     };
     this.nodes.set(spec.id, node);
     const seeds = spec.seeds ?? ['10.0.0.1:7000', '10.0.0.2:7000'];
-    this.act(node, (now) => [...protocol.start(now), ...protocol.addSeeds(now, seeds)]);
+    this.applyInput(node, (now) => [...protocol.start(now), ...protocol.addSeeds(now, seeds)]);
     return node;
   }
 
@@ -144,7 +144,7 @@
   }
 
   /** Passes an input to a node's protocol and performs the resulting actions. */
-  act(node: SimulatedNode, input: (now: number) => readonly MembershipAction[]): void {
+  applyInput(node: SimulatedNode, input: (now: number) => readonly MembershipAction[]): void {
     for (const action of input(this.now)) this.perform(node, action);
     this.arm(node);
   }
@@ -212,7 +212,7 @@
       if (to === undefined || this.isCut(from, to)) return;
       to.bytes += bytes;
       this.deliver(to, () => {
-        this.act(to, (now) => to.protocol.onMessage(now, from.address, message));
+        this.applyInput(to, (now) => to.protocol.onMessage(now, from.address, message));
       });
     });
   }
@@ -233,8 +233,8 @@
       let after = '';
       do {
         const reply = this.call(from, to, { ...request, after });
-        transfers ??= from.protocol.createHandOvers(reply.buckets);
-        this.act(from, (now) => from.protocol.onSyncReply(now, to.id, reply.updates));
+        transfers ??= from.protocol.createTransferRequests(reply.buckets);
+        this.applyInput(from, (now) => from.protocol.onSyncReply(now, to.id, reply.updates));
         after = reply.next;
       } while (after !== '');
       for (const transfer of transfers) this.call(from, to, transfer);
@@ -243,7 +243,7 @@
 
   private call(from: SimulatedNode, to: SimulatedNode, request: MemberSyncRequest) {
     const { reply, actions } = to.protocol.onSyncRequest(this.now, from.id, request);
-    this.act(to, () => actions);
+    this.applyInput(to, () => actions);
     const bytes = this.countBytes ? calculateObjectSize(request) + calculateObjectSize(reply) : 0;
     from.bytes += bytes;
     to.bytes += bytes;
@@ -255,7 +255,7 @@
       const to = this.nodes.get(source);
       if (to === undefined || !this.canCall(from, to)) return;
       const updates = to.protocol.listFacts(nodeIds);
-      this.act(from, (now) => from.protocol.onSyncReply(now, source, updates));
+      this.applyInput(from, (now) => from.protocol.onSyncReply(now, source, updates));
     });
   }
 
@@ -288,7 +288,7 @@
       if (node.timerAt !== next || !node.running || this.nodes.get(node.id) !== node) return;
       node.timerAt = Infinity;
       this.deliver(node, () => {
-        this.act(node, (now) => node.protocol.onTimer(now));
+        this.applyInput(node, (now) => node.protocol.onTimer(now));
       });
     });
   }
--- a/test/sidecar-crashing-requests.test.ts
+++ b/test/sidecar-crashing-requests.test.ts
@@ -12,7 +12,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { HELD_ENDS } from '../src/core/quarantine/suspect-table.js';
+import { HELD_CRASHES } from '../src/core/quarantine/suspect-table.js';
 import { ResultCode } from '../src/core/result-code.js';
 import type { ReceivedRequest } from '../platform/stand-ins/target-stand-in.js';
 import { Mesh, type CallerAnswer, type CallerRequest, type Machine } from './stand-ins/mesh.js';
@@ -95,7 +95,7 @@
     if (this.stopped) return;
     target.restart(`${target.id.split('.')[0]}.${incarnation}`);
     await target.listenAgain();
-    await target.beat(registration);
+    await target.sendHeartbeat(registration);
   }
 }
 
@@ -128,7 +128,7 @@
   const crashingTargets = new CrashingTargets(readers);
   const heartbeats = setInterval(() => {
     for (const { target, registration } of mesh.machines) {
-      if (target.isListening) void target.beat(registration);
+      if (target.isListening) void target.sendHeartbeat(registration);
     }
   }, HEARTBEAT_INTERVAL_MS);
   const stop = async (): Promise<void> => {
@@ -210,7 +210,7 @@
     const { mesh, readers, targets } = crashTest;
     const [first] = readers;
     let last = await mesh.send(first!, { ...CRASHING_READ, deadlineMs: 2_000 });
-    while (targets.crashes.length < HELD_ENDS) {
+    while (targets.crashes.length < HELD_CRASHES) {
       await sleep(REQUEST_GAP_MS);
       last = await mesh.send(first!, { ...CRASHING_READ, deadlineMs: 2_000 });
     }
@@ -218,7 +218,7 @@
     await sleep(Number(last.headers['retry-after']) * MS_PER_SECOND + RETRY_MARGIN_MS);
     await Promise.all(mesh.machines.map((machine) => mesh.send(machine, { ...CRASHING_READ })));
     await sleep(DOWN_MS);
-    assert.equal(targets.crashes.length, HELD_ENDS + 1, `${targets.runs.length} runs`);
+    assert.equal(targets.crashes.length, HELD_CRASHES + 1, `${targets.runs.length} runs`);
   } finally {
     await crashTest.stop();
   }
--- a/test/sidecar-mesh.test.ts
+++ b/test/sidecar-mesh.test.ts
@@ -130,7 +130,7 @@
 });
 
 test('a target gets no new requests after an acknowledged leave, also when its node restarts', async () => {
-  assert.equal(await first.target.beat(first.registration, 'draining'), 200);
+  assert.equal(await first.target.sendHeartbeat(first.registration, 'draining'), 200);
   const before = first.target.receivedCount;
   for (let count = 0; count < 20; count += 1) {
     const answer = await mesh.send(caller, { path: '/read/after' });
@@ -139,7 +139,7 @@
   assert.equal(first.target.receivedCount, before);
   await first.kernel.stop();
   await first.restart();
-  assert.equal(await first.target.beat(first.registration, 'ready', { sequence: 1 }), 200);
+  assert.equal(await first.target.sendHeartbeat(first.registration, 'ready', { sequence: 1 }), 200);
   for (let count = 0; count < 20; count += 1) {
     const answer = await mesh.send(caller, { path: '/read/restarted' });
     assert.equal(answer.status, 200);
@@ -149,15 +149,17 @@
 
 test('a leave is not acknowledged before the store has it', async () => {
   mesh.store.faults.refuseWith = 503;
-  assert.equal(await second.target.beat(second.registration, 'draining'), 503);
+  assert.equal(await second.target.sendHeartbeat(second.registration, 'draining'), 503);
   mesh.store.faults.refuseWith = 0;
-  await waitUntil(async () => (await second.target.beat(second.registration, 'draining')) === 200);
+  await waitUntil(
+    async () => (await second.target.sendHeartbeat(second.registration, 'draining')) === 200,
+  );
   assert.match(mesh.store.get(`sillshore/nodes/${second.id}`) ?? '', /"target":"leaving"/);
 });
 
 test('a new incarnation of a target replaces the old one once it is confirmed', async () => {
   second.target.restart('i-2');
-  await waitUntil(async () => (await second.target.beat(second.registration)) === 200);
+  await waitUntil(async () => (await second.target.sendHeartbeat(second.registration)) === 200);
   const answer = await mesh.sendUntil(
     caller,
     { path: '/read/new' },
@@ -172,7 +174,7 @@
   const record = mesh.store.get(key);
   await caller.kernel.stop();
   await caller.restart();
-  assert.equal(await caller.target.beat(caller.registration), 200);
+  assert.equal(await caller.target.sendHeartbeat(caller.registration), 200);
   await mesh.sendUntil(caller, { path: '/read/kept' }, ({ status }) => status === 200);
   assert.equal(mesh.store.get(key), record);
   assert.equal(mesh.store.calls.get('POST /v1/kv-txn'), writes);
@@ -185,13 +187,19 @@
     const answer = await sendRequest(second.readiness, { path: '/v1/readiness' });
     return answer.status === 200;
   });
-  assert.equal(await second.target.beat(second.registration, 'ready', { id: 'i-0' }), 409);
-  assert.equal(await second.target.beat(second.registration), 200);
+  assert.equal(await second.target.sendHeartbeat(second.registration, 'ready', { id: 'i-0' }), 409);
+  assert.equal(await second.target.sendHeartbeat(second.registration), 200);
 });
 
 test('heartbeats with another service or an unknown id are refused', async () => {
-  assert.equal(await second.target.beat(second.registration, 'ready', { service: 'x' }), 409);
-  assert.equal(await second.target.beat(second.registration, 'ready', { id: 'i-forged' }), 409);
+  assert.equal(
+    await second.target.sendHeartbeat(second.registration, 'ready', { service: 'x' }),
+    409,
+  );
+  assert.equal(
+    await second.target.sendHeartbeat(second.registration, 'ready', { id: 'i-forged' }),
+    409,
+  );
 });
 
 test('new rules are applied, older ones never again', async () => {
--- a/test/sidecar-outage.test.ts
+++ b/test/sidecar-outage.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import { setTimeout as delay } from 'node:timers/promises';
-import { TARGET_WORKS_ON_MS } from '../src/sidecar/entry/planned-stop.js';
+import { TARGET_ACCEPT_TIME_MS } from '../src/sidecar/entry/planned-stop.js';
 import { Mesh, sendRequest, waitUntil, type CallerAnswer, type Machine } from './stand-ins/mesh.js';
 
 const OPTIONS = { zone: 'z', slots: 4, workMs: 1 };
@@ -38,7 +38,7 @@
 });
 
 test('nodes whose leases have expired keep serving, and write their records again', async () => {
-  mesh.store.endAllLeases();
+  mesh.store.expireAllLeases();
   for (let count = 0; count < 10; count += 1) {
     assert.equal((await mesh.send(caller, READ)).status, 200);
   }
@@ -55,7 +55,7 @@
 
 test('records that expired while the store was unavailable are written again soon after its return', async () => {
   mesh.store.faults.refuseWith = 503;
-  mesh.store.endAllLeases();
+  mesh.store.expireAllLeases();
   await new Promise((resolve) => setTimeout(resolve, 1_500));
   assert.deepEqual(mesh.store.keys('sillshore/nodes/'), []);
   mesh.store.faults.refuseWith = 0;
@@ -64,7 +64,7 @@
 });
 
 test('records that are removed while the store is available are written again soon', async () => {
-  mesh.store.endAllLeases();
+  mesh.store.expireAllLeases();
   const tookMs = await waitForRecords();
   assert.ok(tookMs < RECORDS_BACK_MS, `${Math.round(tookMs)} ms`);
   for (let count = 0; count < 10; count += 1) {
@@ -100,19 +100,21 @@
     const answer = await sendRequest(first.readiness, { path: '/v1/readiness' });
     return answer.status === 200;
   });
-  assert.equal(await first.target.beat(first.registration), 200);
+  assert.equal(await first.target.sendHeartbeat(first.registration), 200);
 });
 
 test('a write whose answer was lost is detected, and the leave acknowledged', async () => {
   mesh.store.faults.loseWriteAnswers = true;
-  assert.equal(await second.target.beat(second.registration, 'draining'), 503);
+  assert.equal(await second.target.sendHeartbeat(second.registration, 'draining'), 503);
   mesh.store.faults.loseWriteAnswers = false;
-  await waitUntil(async () => (await second.target.beat(second.registration, 'draining')) === 200);
+  await waitUntil(
+    async () => (await second.target.sendHeartbeat(second.registration, 'draining')) === 200,
+  );
 });
 
 test('a stopping node serves new requests, soon sends its target none of them, and stops', async () => {
   second.target.restart('i-2');
-  await waitUntil(async () => (await second.target.beat(second.registration)) === 200);
+  await waitUntil(async () => (await second.target.sendHeartbeat(second.registration)) === 200);
   first.target.behaviour = ({ attemptId }, response) => {
     if (!attemptId.startsWith('slow')) return false;
     setTimeout(() => response.writeHead(200, { 'X-Attempt-Id': attemptId }).end('done'), 300);
@@ -136,7 +138,7 @@
   assert.equal(during.status, 200);
   for (const { status } of await Promise.all(slow)) assert.equal(status, 200);
   // After this time the target gets no new requests, though the node still accepts requests.
-  await delay(TARGET_WORKS_ON_MS + 100);
+  await delay(TARGET_ACCEPT_TIME_MS + 100);
   const before = first.target.receivedCount;
   for (let count = 0; count < 8; count += 1) {
     assert.equal((await mesh.send(first, READ)).status, 200);
--- a/test/sidecar-planned-stop.test.ts
+++ b/test/sidecar-planned-stop.test.ts
@@ -74,7 +74,7 @@
   const record = await caller.send({ attemptId: 'crossing', path: '/write/2', method: 'POST' });
   assert.equal(record.outcome.type, 'closed');
   assert.equal((await running).outcome.type, 'answered');
-  assert.equal(wasRun(record), false, await stopping.explain('crossing'));
+  assert.equal(wasRun(record), false, await stopping.findRelevantLines('crossing'));
 });
 
 /** Evidence: event 109 with reason time-limit and requests left, then 410 with `endedBy` node. */
@@ -85,7 +85,7 @@
   stopping.process.signal('SIGTERM');
   await sleep(3_600);
   const late = await connectCaller().send({ attemptId: 'late', path: '/write/late' });
-  assert.equal(late.outcome.type, 'answered', await stopping.explain('late'));
+  assert.equal(late.outcome.type, 'answered', await stopping.findRelevantLines('late'));
   assert.equal(late.outcome.status, 503);
   assert.equal(wasRun(late), false);
   const { outcome } = await running;
@@ -104,7 +104,7 @@
   await sleep(3_500);
   caller.resume();
   const { outcome } = await answer;
-  assert.equal(outcome.type, 'answered', await stopping.explain('large'));
+  assert.equal(outcome.type, 'answered', await stopping.findRelevantLines('large'));
   assert.equal(outcome.body.length, LARGE_ANSWER_BYTES);
 });
 
@@ -118,7 +118,7 @@
     await sleep(150);
   }
   const { outcome } = await running;
-  assert.equal(outcome.type, 'answered', await stopping.explain('running'));
+  assert.equal(outcome.type, 'answered', await stopping.findRelevantLines('running'));
   assert.equal(outcome.status, 200);
   assert.deepEqual(await stopping.process.ended, { code: 0, signal: null });
 });
--- a/test/sidecar-quotas.test.ts
+++ b/test/sidecar-quotas.test.ts
@@ -131,7 +131,7 @@
     await machine.kernel.stop();
     await machine.restart();
   }
-  await ledger.target.beat(ledger.registration);
+  await ledger.target.sendHeartbeat(ledger.registration);
   await overLimit;
   const most = busiestWindow(arrivals.get('small'));
   assert.ok(most <= boundOf(SMALL), `${most} in a window, ${boundOf(SMALL)} allowed`);
--- a/test/sidecar-store-copy.test.ts
+++ b/test/sidecar-store-copy.test.ts
@@ -52,9 +52,9 @@
 }
 
 async function restoreStore(copy: ReturnType<Mesh['store']['copy']>): Promise<void> {
-  mesh.store.goAway();
+  mesh.store.goOffline();
   await sleep(OUTAGE_MS);
-  mesh.store.comeBackFrom(copy);
+  mesh.store.restoreFrom(copy);
 }
 
 async function waitAtMost(limitMs: number, holds: () => boolean): Promise<void> {
@@ -67,7 +67,7 @@
 test('a record that was written after the copy is written again within two seconds', async () => {
   const copy = mesh.store.copy();
   const late = await addReader('late');
-  await late.target.beat(late.registration);
+  await late.target.sendHeartbeat(late.registration);
   await waitUntil(() => recordOf(late)?.['target'] === 'ready');
   await restoreStore(copy);
   await waitAtMost(REWRITTEN_WITHIN_MS, () => recordOf(late)?.['target'] === 'ready');
@@ -77,7 +77,7 @@
   const copy = mesh.store.copy();
   for (const id of ['third', 'fourth']) {
     const machine = await addReader(id);
-    await machine.target.beat(machine.registration);
+    await machine.target.sendHeartbeat(machine.registration);
     await waitUntil(() => recordOf(machine)?.['target'] === 'ready');
   }
   await restoreStore(copy);
@@ -91,7 +91,7 @@
 
 test('a leave that was acknowledged after the copy is written again, and stays in force', async () => {
   const copy = mesh.store.copy();
-  assert.equal(await first.target.beat(first.registration, 'draining'), SERVED);
+  assert.equal(await first.target.sendHeartbeat(first.registration, 'draining'), SERVED);
   await restoreStore(copy);
   assert.equal(recordOf(first)?.['target'], 'ready', 'the copy is older');
   await waitAtMost(REWRITTEN_WITHIN_MS, () => recordOf(first)?.['target'] === 'leaving');
@@ -105,7 +105,7 @@
 
 test("a leave stays in force when the target's sidecar restarts from the older copy", async () => {
   const copy = mesh.store.copy();
-  assert.equal(await first.target.beat(first.registration, 'draining'), SERVED);
+  assert.equal(await first.target.sendHeartbeat(first.registration, 'draining'), SERVED);
   // The caller's node has received the leave.
   await mesh.sendUntil(caller, { path: '/read/heard' }, ({ status }) => status === SERVED);
   await first.kernel.stop();
@@ -125,10 +125,10 @@
   const copy = mesh.store.copy();
   mesh.putRules(2, [ROUTE, { path: '/second/', service: 'reader' }]);
   await mesh.sendUntil(caller, { path: '/second/1' }, ({ status }) => status === SERVED);
-  mesh.store.goAway();
+  mesh.store.goOffline();
   await sleep(OUTAGE_MS);
   assert.equal((await mesh.send(caller, { path: '/second/2' })).status, SERVED);
-  mesh.store.comeBackFrom(copy);
+  mesh.store.restoreFrom(copy);
   assert.equal((await mesh.send(caller, { path: '/second/3' })).status, SERVED);
   mesh.putRules(3, [ROUTE, { path: '/third/', service: 'reader' }]);
   const startedAt = performance.now();
@@ -138,9 +138,9 @@
 
 test('a change is received that was made after the revisions had risen above the earlier ones', async () => {
   const copy = mesh.store.copy();
-  mesh.store.goAway();
+  mesh.store.goOffline();
   await sleep(OUTAGE_MS);
-  mesh.store.comeBackFrom(copy);
+  mesh.store.restoreFrom(copy);
   for (let index = 0; index < 50; index += 1) mesh.store.put(`other/${index}`, 'x');
   mesh.putRules(2, [ROUTE, { path: '/second/', service: 'reader' }]);
   const startedAt = performance.now();
--- a/test/soak/soak-faults.ts
+++ b/test/soak/soak-faults.ts
@@ -65,7 +65,7 @@
       const at = performance.now();
       const overdue = this.overdue.delete(machine);
       if (this.isOver) return;
-      const beforeStart = !machine.hasSpoken;
+      const beforeStart = !machine.hasWrittenOutput;
       const exit = { machine: machine.id, at, code, signal, expected, beforeStart, overdue };
       this.ledger.exits.push(exit);
       if (expected) return;
@@ -130,7 +130,7 @@
         );
       case 'leases-end':
         return await this.disruptStore(
-          () => this.mesh.store.endAllLeases(),
+          () => this.mesh.store.expireAllLeases(),
           () => {},
           0,
         );
@@ -224,7 +224,7 @@
     this.leaving.add(machine);
     const { target, registration } = machine;
     const targetId = target.id;
-    const acknowledged = (await target.beat(registration, 'draining')) === 200;
+    const acknowledged = (await target.sendHeartbeat(registration, 'draining')) === 200;
     if (acknowledged) {
       this.ledger.leaves.push({ machine: machine.id, targetId, at: performance.now() });
       await sleep(this.bounds.drainMs + forMs);
@@ -242,8 +242,8 @@
     const copy = store.copy();
     await sleep(ageMs);
     await this.disruptStore(
-      () => store.goAway(),
-      () => store.comeBackFrom(copy),
+      () => store.goOffline(),
+      () => store.restoreFrom(copy),
       outageMs,
     );
     this.isRestoringStore = false;
--- a/test/stand-ins/mesh.ts
+++ b/test/stand-ins/mesh.ts
@@ -5,7 +5,7 @@
 import type { EventLog } from '../../src/kernel/event.js';
 import { silentEventLog } from '../../src/kernel/event.js';
 import type { Kernel } from '../../src/kernel/kernel.js';
-import { createSidecar } from '../../src/sidecar/start-sidecar.js';
+import { createSidecar } from '../../src/sidecar/create-sidecar.js';
 import { validateSidecarSettings } from '../../src/sidecar/settings.js';
 import { findFreePorts } from '../../src/trials/free-ports.js';
 import {
@@ -126,7 +126,7 @@
 
   /** Sends one heartbeat from each target. */
   async sendHeartbeats(): Promise<void> {
-    for (const { target, registration } of this.machines) await target.beat(registration);
+    for (const { target, registration } of this.machines) await target.sendHeartbeat(registration);
   }
 
   /** Sends a request to a machine's entry. */
--- a/test/support/claim-fleet.ts
+++ b/test/support/claim-fleet.ts
@@ -9,11 +9,11 @@
 import type { Member, Membership } from '../../src/membership/membership.js';
 import { InMemoryPeerHub, type InMemoryPeerNetwork } from './in-memory-peer-network.js';
 import type { PeerNetwork } from '../../src/peer/peer-network.js';
-import { InMemoryPlatform, type WriteFate } from './in-memory-platform.js';
+import { InMemoryPlatform, type WriteOutcome } from './in-memory-platform.js';
 
 /** Options of a fleet. */
 export interface ClaimFleetOptions {
-  readonly nextWrite?: () => WriteFate;
+  readonly nextWrite?: () => WriteOutcome;
   readonly pageBytes?: number;
   readonly wantedGroups?: number;
 }
@@ -78,7 +78,7 @@
   }
 
   /** Stops all members and installs the next epoch at one only, as a proposer that then crashes. */
-  async changeOnly(nodeId: string): Promise<void> {
+  async installNextEpochAt(nodeId: string): Promise<void> {
     const old = this.nodes.get(nodeId)!.placementOf(0)!;
     const network = this.hub.createNetwork('proposer');
     const callReplica = async (to: string, request: ReplicaRequest): Promise<ReplicaReply> => {
@@ -120,7 +120,7 @@
   }
 
   /** Advances virtual time and runs the work that becomes due. */
-  async pass(milliseconds: number): Promise<void> {
+  async advance(milliseconds: number): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += VIRTUAL_STEP_MS) {
       this.clock.advance(VIRTUAL_STEP_MS);
       await new Promise((resolve) => setImmediate(resolve));
@@ -131,7 +131,7 @@
   async settle<T>(promise: Promise<T>): Promise<T> {
     let done = false;
     void promise.finally(() => (done = true));
-    for (let step = 0; !done && step < 4_000; step += 1) await this.pass(VIRTUAL_STEP_MS);
+    for (let step = 0; !done && step < 4_000; step += 1) await this.advance(VIRTUAL_STEP_MS);
     return promise;
   }
 
@@ -188,6 +188,6 @@
   fleet.start('a', 'zone-1');
   fleet.start('b', 'zone-2');
   fleet.start('c', 'zone-3');
-  await fleet.pass(READY_AFTER_MS);
+  await fleet.advance(READY_AFTER_MS);
   return fleet;
 }
--- a/test/support/fake-services.ts
+++ b/test/support/fake-services.ts
@@ -171,10 +171,10 @@
     if (attempts < 1) {
       return Promise.resolve(Result.err(createFailure(ResultCode.AttemptsExhausted, 'charged')));
     }
-    const giveBack = (unused: number): void => {
+    const release = (unused: number): void => {
       this.charges.set(requestId, (this.charges.get(requestId) ?? 0) - unused);
     };
-    return Promise.resolve(Result.ok({ attempts, giveBack }));
+    return Promise.resolve(Result.ok({ attempts, release }));
   }
 
   private decide(request: ClaimRequest): ClaimDecision {
--- a/test/support/in-memory-platform.ts
+++ b/test/support/in-memory-platform.ts
@@ -15,11 +15,11 @@
 import { KeyValueStore, type StoredValue } from '../../src/stand-ins/platform/key-value-store.js';
 
 /** Outcome of a write; `late` takes effect only when {@link InMemoryPlatform.deliverLate} runs. */
-export type WriteFate = 'ok' | 'refused' | 'lost-before' | 'lost-after' | 'late';
+export type WriteOutcome = 'ok' | 'refused' | 'lost-before' | 'lost-after' | 'late';
 
 /** Planned outcomes of calls; a call without a plan succeeds. */
 export interface PlatformPlan {
-  readonly nextWrite?: () => WriteFate;
+  readonly nextWrite?: () => WriteOutcome;
   readonly nextReadFails?: () => boolean;
   /** Lets a scheduler decide when each exchange continues. */
   readonly step?: () => Promise<void>;
--- a/test/support/node-fleet.ts
+++ b/test/support/node-fleet.ts
@@ -31,7 +31,7 @@
 export class NodeFleet {
   readonly nodes: FleetNode[] = [];
   /** Every observed decrease of a revision in force; empty if the nodes are correct. */
-  readonly falls: string[] = [];
+  readonly revisionDecreases: string[] = [];
   private readonly highestRevisions = new Map<FleetNode, number>();
   private readonly peers: string[] = [];
   private readonly directory = mkdtempSync(join(tmpdir(), 'sillshore-'));
@@ -73,7 +73,7 @@
   }
 
   /** Waits until a revision is in force at all running nodes; returns the milliseconds taken. */
-  async untilInForce(revision: number): Promise<number> {
+  async waitInForce(revision: number): Promise<number> {
     const startedAt = performance.now();
     await poll(`revision ${revision} everywhere`, START_TIMEOUT_MS, async () => {
       const revisions = await Promise.all(
@@ -119,7 +119,8 @@
     try {
       const revision = await node.admin.revisionInForce(this.tenant);
       const before = this.highestRevisions.get(node) ?? 0;
-      if (revision < before) this.falls.push(`${node.id} went back from ${before} to ${revision}`);
+      if (revision < before)
+        this.revisionDecreases.push(`${node.id} went back from ${before} to ${revision}`);
       this.highestRevisions.set(node, Math.max(before, revision));
     } catch {
       // The node is starting, stopping or suspended.
--- a/test/support/process-mesh.ts
+++ b/test/support/process-mesh.ts
@@ -101,7 +101,7 @@
       SIDECAR_PROGRAM,
     );
     this.heartbeats ??= setInterval(() => {
-      void this.target.beat(this.registration);
+      void this.target.sendHeartbeat(this.registration);
     }, HEARTBEAT_INTERVAL_MS);
   }
 
@@ -124,7 +124,7 @@
   }
 
   /** Returns the log lines about a request and those of planned stops ({@link STOP_EVENTS}). */
-  async explain(attemptId: string): Promise<string> {
+  async findRelevantLines(attemptId: string): Promise<string> {
     await this.process.ended;
     const isRelevant = (line: string): boolean =>
       line.includes(attemptId) || STOP_EVENTS.some((event) => line.includes(`"event":${event},`));
@@ -132,7 +132,7 @@
   }
 
   /** Whether the process that was started last has written anything to standard output. */
-  get hasSpoken(): boolean {
+  get hasWrittenOutput(): boolean {
     return this.process.stdout !== '';
   }
 
--- a/test/support/test-certificates.ts
+++ b/test/support/test-certificates.ts
@@ -34,7 +34,7 @@
 } as const;
 
 /** A node whose certificate comes from another authority. */
-export const STRANGER_TLS = {
+export const OTHER_CA_TLS = {
   certificate: `-----BEGIN CERTIFICATE-----
 MIIBuTCCAWCgAwIBAgIUNESOmBcqDiVWTs2btrIr1G7nJSAwCgYIKoZIzj0EAwIw
 MTEvMC0GA1UEAwwmc2lsbHNob3JlIHRlc3Qgb25seSBzdHJhbmdlci1hdXRob3Jp
