--- a/src/cli/config-apply-command.ts
+++ b/src/cli/config-apply-command.ts
@@ -38,14 +38,14 @@
     details: `
       Makes a rules document the next revision of its tenant, when the current revision is still
       the expected one; otherwise the exit code is 4. When the outcome of the call is
-      unknown, the command repeats it under the same operation id, which never applies twice.
+      unknown, the command retries it with the same operation id, which is never applied twice.
 
       ${CONNECTION_HELP}
     `,
     examples: [
       ['The first revision of a tenant', '$0 config apply rules.yaml --expect 0'],
       ['A change on top of revision 7', '$0 config apply rules.yaml --expect 7 --wait-ms 8000'],
-      ['Only ask the node whether it would take it', '$0 config apply rules.yaml --check'],
+      ['Only check whether the node would accept it', '$0 config apply rules.yaml --check'],
     ],
   });
 
@@ -56,12 +56,13 @@
   });
   tenant = Option.String('--tenant', { description: "Tenant; by default the document's" });
   operation = Option.String('--operation', {
-    description: 'Operation id, to repeat an earlier call; by default a new one',
+    description: 'Operation id, to retry an earlier call; by default a new one',
   });
   author = Option.String('--author', { description: 'Who makes the change; by default USER' });
-  check = Option.Boolean('--check', false, { description: 'Validate at the node, change nothing' });
+  check = Option.Boolean('--check', false, { description: 'Validate at the node; change nothing' });
   waitMs = Option.String('--wait-ms', {
-    description: 'Wait this long until the revision is in force at every node seen',
+    description:
+      'Wait this long until the revision is in force at every node that the queried node sees',
     validator: isWholeNumber(0),
   });
   json = Option.Boolean('--json', false, { description: 'Print JSON' });
--- a/src/cli/config-check-command.ts
+++ b/src/cli/config-check-command.ts
@@ -15,7 +15,7 @@
     description: 'check a rules or settings document',
     details: `
       Checks a rules document, or with \`--settings\` a node's settings, and reports every
-      error at once. It needs no node. \`config apply --check\` asks a node instead.
+      error at once. It needs no node. \`config apply --check\` checks at a node instead.
     `,
     examples: [
       ['Check rules', '$0 config check rules.yaml'],
@@ -24,7 +24,7 @@
   });
 
   file = Option.String({ name: 'file' });
-  isSettings = Option.Boolean('--settings', false, { description: 'The file holds settings' });
+  isSettings = Option.Boolean('--settings', false, { description: 'The file contains settings' });
   json = Option.Boolean('--json', false, { description: 'Print JSON' });
 
   protected async run(): Promise<ExitCode> {
--- a/src/cli/config-read-commands.ts
+++ b/src/cli/config-read-commands.ts
@@ -64,7 +64,7 @@
 
   tenant = Option.String('--tenant', { required: true, description: 'Tenant' });
   limit = Option.String('--limit', String(DEFAULT_HISTORY_LIMIT), {
-    description: `Revisions at most, 1 to 100, by default ${DEFAULT_HISTORY_LIMIT}`,
+    description: `Maximum number of revisions, 1 to 100, by default ${DEFAULT_HISTORY_LIMIT}`,
     validator: isWholeNumber(1),
   });
   json = Option.Boolean('--json', false, { description: 'Print JSON' });
@@ -121,10 +121,10 @@
 
   tenant = Option.String('--tenant', '', { description: 'Tenant; by default all' });
   count = Option.String('--count', {
-    description: 'End after this many revisions; the one in force now is the first',
+    description: 'Exit after this many revisions; the one in force now is the first',
     validator: isWholeNumber(1),
   });
-  json = Option.Boolean('--json', false, { description: 'Print one JSON object a line' });
+  json = Option.Boolean('--json', false, { description: 'Print one JSON object per line' });
 
   protected async operate(client: AdminClient): Promise<ExitCode> {
     const ended = await callAdmin(this.watch(client));
--- a/src/cli/drain-commands.ts
+++ b/src/cli/drain-commands.ts
@@ -11,10 +11,10 @@
   static override paths = [['drain', 'target']];
   static override usage = Command.Usage({
     category: CATEGORY,
-    description: 'give a target no new work',
+    description: 'stop sending new work to a target',
     details: `
-      The node that fronts the target keeps the command in memory. To take a target out for good,
-      apply rules without it.
+      The node that fronts the target keeps the command in memory. To remove a target
+      permanently, apply rules without it.
 
       ${CONNECTION_HELP}
     `,
@@ -25,7 +25,7 @@
   });
 
   target = Option.String({ name: 'target' });
-  resume = Option.Boolean('--resume', false, { description: 'End an earlier drain' });
+  resume = Option.Boolean('--resume', false, { description: 'Cancel an earlier drain' });
 
   protected async operate(client: AdminClient): Promise<ExitCode> {
     const { target, resume } = this;
@@ -42,9 +42,9 @@
   static override usage = Command.Usage({
     category: CATEGORY,
     description: 'start the planned stop of a node',
-    details: `The asked node passes the command on. ${CONNECTION_HELP}`,
+    details: `The node that receives the command forwards it to the named node. ${CONNECTION_HELP}`,
     examples: [
-      ['The asked node itself', '$0 drain node --admin 127.0.0.1:9000'],
+      ['The node that receives the command', '$0 drain node --admin 127.0.0.1:9000'],
       ['Another member', '$0 drain node b1 --admin 127.0.0.1:9000'],
     ],
   });
--- a/src/cli/losses-command.ts
+++ b/src/cli/losses-command.ts
@@ -13,8 +13,8 @@
     description: 'print where requests were lost',
     details: `
       Reads log files of any number of nodes, or standard input, and prints how many requests were
-      refused or failed, by kind and cause. Calls that targets make are told apart from requests of
-      callers. Requests that were served are counted where the logs hold them, at level debug.
+      refused or failed, by kind and cause. Calls made by targets are counted separately from requests
+      of callers. Served requests are counted only if the logs contain them (level debug).
     `,
     examples: [
       ['Over the whole time', '$0 losses logs/*.log'],
--- a/src/cli/node-command.ts
+++ b/src/cli/node-command.ts
@@ -12,12 +12,13 @@
   static override usage = Command.Usage({
     description: 'run a node',
     details: `
-      Runs one node until SIGTERM or SIGINT, which start a planned stop: running requests end,
-      then the node leaves. SIGTERM again changes nothing; SIGINT after that stops at once.
+      Runs one node until SIGTERM or SIGINT, which start a planned stop: running requests
+      complete, then the node leaves. A further SIGTERM changes nothing; SIGINT after that stops
+      at once.
 
       Flags override the settings file. Secrets can also come from the environment:
-      SILLSHORE_SHARED_KEY (peers.sharedKey), SILLSHORE_PREVIOUS_SHARED_KEY (the one member of
-      peers.previousSharedKeys), SILLSHORE_TOKEN (admin.token), and
+      SILLSHORE_SHARED_KEY (peers.sharedKey), SILLSHORE_PREVIOUS_SHARED_KEY (the only member
+      of peers.previousSharedKeys), SILLSHORE_TOKEN (admin.token), and
       the PEM texts of TLS: SILLSHORE_ADMIN_TLS_CERTIFICATE, SILLSHORE_ADMIN_TLS_KEY,
       SILLSHORE_PEER_TLS_CERTIFICATE, SILLSHORE_PEER_TLS_KEY, SILLSHORE_PEER_TLS_CA.
     `,
@@ -33,7 +34,7 @@
   zone = Option.String('--zone', { description: 'node.zone' });
   region = Option.String('--region', { description: 'node.region' });
   fronts = Option.Array('--front', { description: 'node.fronts; repeat for more targets' });
-  entry = Option.String('--entry', { description: 'listen.entry, as 127.0.0.1:8080' });
+  entry = Option.String('--entry', { description: 'listen.entry, for example 127.0.0.1:8080' });
   admin = Option.String('--admin', { description: 'listen.admin' });
   peer = Option.String('--peer', { description: 'listen.peer' });
   keyValue = Option.Array('--key-value', { description: 'platform.keyValue; repeat for more' });
--- a/src/cli/operator-command.ts
+++ b/src/cli/operator-command.ts
@@ -14,12 +14,12 @@
 
 /** Part of the commands' help: how a command finds its node and its token. */
 export const CONNECTION_HELP =
-  'The node is found by `--admin` or SILLSHORE_ADMIN, the token by `--token` or SILLSHORE_TOKEN.';
+  '`--admin` or SILLSHORE_ADMIN gives the node, `--token` or SILLSHORE_TOKEN the token.';
 
 /** Connects to the node of the options or the environment and runs `operate` with the client. */
 export abstract class OperatorCommand extends SillshoreCommand {
   admin = Option.String('--admin', {
-    description: "Address of a node's operators' interface, as 127.0.0.1:9000",
+    description: "Address of a node's operators' interface, for example 127.0.0.1:9000",
     env: 'SILLSHORE_ADMIN',
     validator: isAdminUrl,
   });
--- a/src/cli/sidecar-command.ts
+++ b/src/cli/sidecar-command.ts
@@ -12,11 +12,11 @@
 export class SidecarCommand extends SillshoreCommand {
   static override paths = [['sidecar']];
   static override usage = Command.Usage({
-    description: 'run the node beside one target',
+    description: 'run the sidecar of one target',
     details: `
-      Runs until SIGTERM or SIGINT, which start a planned stop: what comes is still served, the
-      node says that it is not ready, running requests end, then it stops. SIGTERM again changes
-      nothing; SIGINT after that stops at once.
+      Runs until SIGTERM or SIGINT, which start a planned stop: the node reports that it is not
+      ready, still serves new requests, completes running ones, then stops. A further SIGTERM
+      changes nothing; SIGINT after that stops at once.
     `,
     examples: [['Run with a settings file', '$0 sidecar --settings sidecar.json']],
   });
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -21,7 +21,7 @@
     description: 'show a node, the members that it sees, and its targets',
     details: `
       Limit, running and waiting requests of a target are known at the node that fronts it; the
-      table shows the targets that the asked node fronts. \`--all\` asks every member.
+      table shows the targets that the queried node fronts. \`--all\` queries every member.
 
       ${CONNECTION_HELP}
     `,
@@ -31,7 +31,7 @@
     ],
   });
 
-  all = Option.Boolean('--all', false, { description: 'Ask every member for its targets' });
+  all = Option.Boolean('--all', false, { description: 'Query every member for its targets' });
   json = Option.Boolean('--json', false, { description: 'Print JSON' });
 
   protected async operate(client: AdminClient): Promise<ExitCode> {
--- a/src/cli/story-command.ts
+++ b/src/cli/story-command.ts
@@ -9,11 +9,11 @@
 export class StoryCommand extends SillshoreCommand {
   static override paths = [['story']];
   static override usage = Command.Usage({
-    description: 'print what logs say of one request',
+    description: 'print the log lines about one request',
     details: `
       Reads log files of any number of nodes, or standard input, and prints the lines about one
-      request and the calls that were made for it. Clocks of nodes differ, so the order is that
-      of causes: tries first, the end that the caller saw last.
+      request and the calls that were made for it. Clocks of nodes differ, so lines
+      are in causal order: attempts first, the outcome that the caller saw last.
     `,
     examples: [['From the files of all nodes', '$0 story 9c41d07be2a35f68 logs/*.log']],
   });
--- a/src/emulator/commands.ts
+++ b/src/emulator/commands.ts
@@ -41,7 +41,7 @@
     validator: applyCascade(isNumber(), [isInteger(), isInInclusiveRange(1, MAX_SEEDS)]),
   });
   jobs = Option.String('--jobs', {
-    description: 'Runs at a time; half of the processors, four at most, when absent',
+    description: 'Parallel runs; by default half of the processors, at most four',
     validator: applyCascade(isNumber(), [isInteger(), isInInclusiveRange(1, MAX_JOBS)]),
   });
   policies = Option.Array('--policy', { description: "Policy in place of the file's; repeatable" });
--- a/src/stand-ins/backend/commands.ts
+++ b/src/stand-ins/backend/commands.ts
@@ -21,17 +21,17 @@
     description: 'run a back end for tests and trials',
     details: `
       Runs a back end with slots, a queue, seeded service times, cold start, drain and an effects
-      journal until SIGTERM. Its first line on standard output tells the address.
+      journal until SIGTERM. Its first line on standard output contains the address.
 
-      With --workload the service times and the calls on to other services come from the file;
-      --node then names the entries through which it calls. Without a file --calls does both:
+      With --workload the service times and the calls to other services come from the file;
+      --node then names the entries through which it calls. Without a file --calls gives both:
       \`service=host@http://127.0.0.1:8080\`, once for each call.
 
-      GET /control/journal answers the journal, POST /control switches faults (JSON).
+      GET /control/journal returns the journal, POST /control switches faults (JSON).
     `,
     examples: [
       [
-        'A target of a service that works for itself',
+        'A target of a service that calls no other service',
         '$0 emulate backend --listen 127.0.0.1:9001 --service guide --target guide-1 --slots 12',
       ],
       [
@@ -41,13 +41,16 @@
     ],
   });
 
-  listen = Option.String('--listen', { required: true, description: 'Address, as 127.0.0.1:9001' });
+  listen = Option.String('--listen', {
+    required: true,
+    description: 'Address, for example 127.0.0.1:9001',
+  });
   service = Option.String('--service', { required: true });
   target = Option.String('--target', { required: true });
   slots = Option.String('--slots', { required: true, validator: positiveInteger });
   maxQueue = Option.String('--max-queue', `${BACKEND_DEFAULTS.maxQueue}`, {
     validator: positiveInteger,
-    description: 'Requests that may wait; a further one is shed',
+    description: 'Maximum waiting requests; further ones are shed',
   });
   serviceMs = Option.String('--service-ms', '10', {
     validator: notNegative,
@@ -62,7 +65,7 @@
   });
   connectionCostMs = Option.String('--connection-cost-ms', `${BACKEND_DEFAULTS.connectionCostMs}`, {
     validator: notNegative,
-    description: 'Wait of the first request of a connection',
+    description: 'Delay of the first request on a connection',
   });
   coldMs = Option.String('--cold-ms', `${BACKEND_DEFAULTS.coldMs}`, {
     validator: notNegative,
--- a/src/stand-ins/callers/commands.ts
+++ b/src/stand-ins/callers/commands.ts
@@ -13,10 +13,10 @@
   static override paths = [['emulate', 'callers']];
   static override usage = Command.Usage({
     category: 'Stand-ins',
-    description: 'run callers with an open loop for tests and trials',
+    description: 'run open-loop callers for tests and trials',
     details: `
-      Sends the streams of a workload document at their rates, whatever the answers do, repeats
-      what failed when --tries says so, checks every answer, and prints the result as JSON.
+      Sends the streams of a workload document at their rates, independent of the answers, retries
+      failed requests when --tries is above 1, checks every answer, and prints the result as JSON.
 
       With --control it serves GET /control/result, and POST /control with
       {"rateFactor": 2} or {"stop": true}.
@@ -27,7 +27,7 @@
         '$0 emulate callers --workload examples/recife/workload.yaml --entry http://127.0.0.1:8080 --duration-ms 15000',
       ],
       [
-        'Twice the load from callers that repeat hard',
+        'Twice the load from callers that retry aggressively',
         '$0 emulate callers --workload examples/recife/workload.yaml --entry http://127.0.0.1:8080 --rate-factor 2 --tries 4 --try-patience 0.3',
       ],
     ],
@@ -42,11 +42,11 @@
   retryDelayMs = Option.String('--retry-delay-ms', '0', { validator: notNegative });
   tryPatience = Option.String('--try-patience', '1', {
     validator: t.cascade(t.isNumber(), [t.isInInclusiveRange(0.01, 1)]),
-    description: 'Part of the patience after which a try is given up and repeated',
+    description: 'Fraction of the time limit after which an attempt is abandoned and retried',
   });
   seed = Option.String('--seed', '1', { validator: t.isNumber() });
   control = Option.String('--control', { description: 'Address of the control endpoint' });
-  journal = Option.Boolean('--journal', false, { description: 'Print every request as well' });
+  journal = Option.Boolean('--journal', false, { description: 'Also print every request' });
 
   protected async run(): Promise<ExitCode> {
     const { parseWorkload } = await import('../workload.js');
--- a/src/stand-ins/platform/commands.ts
+++ b/src/stand-ins/platform/commands.ts
@@ -15,9 +15,9 @@
     description: 'run a platform for tests and trials',
     details: `
       Runs a key-value service (JSON form of the etcd v3 API) and the list of machines until
-      SIGTERM. Everything is kept in memory. GET /control tells the faults in force and
-      POST /control switches them; --control gives that endpoint a port of its own, which stays
-      up during an outage.
+      SIGTERM. Everything is kept in memory. GET /control returns the active faults and
+      POST /control switches them; --control gives that endpoint a separate port, which stays up
+      during an outage.
     `,
     examples: [
       [
--- a/src/trials/commands.ts
+++ b/src/trials/commands.ts
@@ -28,7 +28,7 @@
   });
 
   rates = Option.Array('--rate', {
-    description: 'Calls a second on each path; repeat for more runs; 77 and 770 when absent',
+    description: 'Calls per second on each path; repeat for more runs; by default 77 and 770',
   });
   durationMs = Option.String('--duration-ms', '15000', { validator: positiveInteger });
   seed = Option.String('--seed', '1', { validator: t.isNumber() });
@@ -59,8 +59,8 @@
     category: 'Experiments',
     description: 'run seeded faults over a deployment of processes and check the guarantees',
     details: `
-      For each seed: starts an example as separate processes on loopback, runs load with hard
-      repeats while nodes are killed, paused and stopped, back ends misbehave and the platform
+      For each seed: starts an example as separate processes on loopback, runs load with
+      aggressive retries while nodes are killed, paused and stopped, back ends misbehave and the platform
       fails, then a calm load, and checks the journals of both ends. Exits with 5 when a guarantee
       was broken, and prints the seed. A seed fixes the schedule, not the machine's timing.
       Run it in the repository's root.
@@ -78,7 +78,7 @@
   faults = Option.String('--faults', '12', { validator: positiveInteger });
   durationMs = Option.String('--duration-ms', '12000', { validator: positiveInteger });
   rateFactor = Option.String('--rate-factor', '0.5', { validator: t.isNumber() });
-  json = Option.Boolean('--json', false, { description: 'Print one JSON object a seed' });
+  json = Option.Boolean('--json', false, { description: 'Print one JSON object per seed' });
 
   protected async run(): Promise<ExitCode> {
     const { Deployment } = await import('./deployment.js');
--- a/src/trials/membership-commands.ts
+++ b/src/trials/membership-commands.ts
@@ -16,10 +16,11 @@
     description: 'measure the membership protocol under virtual time',
     details: `
       Runs the protocol of a whole fleet in one process on a simulated network (0.5 to 1.5 ms one
-      way) and prints, per size and seed, in virtual milliseconds: until a change of the rules is
-      heard by all and known of all, until a planned stop and a killed node are known everywhere,
-      until a rack is gone from every view; and bytes a second, sent and received with packet
-      headers, of the busiest node. The same seed gives the same figures.
+      way) and prints, per size and seed, in virtual milliseconds: until every node has received a
+      change of the rules, until every node knows that all have it in force, until a planned stop
+      and a killed node are known everywhere, until a rack is gone from every view; and bytes per
+      second, sent and received with packet headers, of the busiest node. The same seed gives the
+      same figures.
     `,
     examples: [
       ['Three sizes, three seeds each', '$0 bench membership'],
@@ -27,7 +28,7 @@
     ],
   });
 
-  sizes = Option.Array('--size', { description: 'Nodes; repeat for more; 5 at least' });
+  sizes = Option.Array('--size', { description: 'Nodes; repeat for more; at least 5' });
   seeds = Option.String('--seeds', '3', { validator: positiveInteger });
   json = Option.Boolean('--json', false, { description: 'Print JSON' });
 
