--- a/src/sidecar/quarantine/request-quarantine.ts
+++ b/src/sidecar/quarantine/request-quarantine.ts
@@ -166,15 +166,15 @@
   }
 
   private clear(request: RequestKey): number {
-    const ends = this.table.noteServed(request);
-    if (ends >= HELD_CRASHES) {
+    const crashes = this.table.noteServed(request);
+    if (crashes >= HELD_CRASHES) {
       this.options.log.emit(Event.QuarantineLifted, {
         request: request.content,
         caller: request.caller,
-        ends,
+        ends: crashes,
       });
     }
-    return ends;
+    return crashes;
   }
 }
 
