--- a/src/sidecar/directory/node-directory.ts
+++ b/src/sidecar/directory/node-directory.ts
@@ -53,9 +53,9 @@
   /**
    * Called when a peer reports how recently its rules were confirmed.
    *
-   * @param askedAt boot time before which the peer did not write its report
+   * @param requestedAt boot time of the request that the report answers; the report is not older
    */
-  onRulesConfirmation(confirmation: RulesConfirmation, askedAt: number): void;
+  onRulesConfirmation(confirmation: RulesConfirmation, requestedAt: number): void;
   /** Whether this node receives changes from the store now. */
   isStoreAvailable(): boolean;
   /** Called when the store holds no valid record of this node. */
@@ -136,7 +136,7 @@
     }
   }
 
-  /** Called when the store was restored from an older copy. Nodes that it lacks write their records again. */
+  /** Called when the store was restored from an older copy. Nodes whose records it lacks write them again. */
   onStoreEraChanged(): void {
     this.recoveringUntil = this.options.clock.now() + expiredRecordGraceMs(this.size);
   }
@@ -340,8 +340,8 @@
         onRules: (document) => {
           this.options.onRulesDocument(document);
         },
-        onRulesConfirmation: (confirmation, askedAt) => {
-          this.options.onRulesConfirmation(confirmation, askedAt);
+        onRulesConfirmation: (confirmation, requestedAt) => {
+          this.options.onRulesConfirmation(confirmation, requestedAt);
         },
       },
     });
--- a/src/sidecar/directory/prefix-watch.ts
+++ b/src/sidecar/directory/prefix-watch.ts
@@ -24,7 +24,7 @@
   onListing(items: readonly StoreItem[]): void;
   onEvents(events: readonly StoreEvent[]): void;
   /** Called when all that the store held at this boot time has been reported. */
-  onCurrent?(askedAt: number): void;
+  onCurrent?(requestedAt: number): void;
 }
 
 /** Wait of a call that only checks whether there are changes, in milliseconds. */
@@ -78,12 +78,12 @@
   async check(): Promise<boolean> {
     const { revision, era } = this;
     if (revision === undefined) return false;
-    const askedAt = this.options.clock.bootNow();
+    const requestedAt = this.options.clock.bootNow();
     const result = await this.options.store.watch(this.options.prefix, revision, NO_WAIT_MS);
     if (result.isErr || result.value.type === 'compacted') return false;
     if (this.closed || era !== this.options.eras.current) return false;
     if (result.value.events.length > 0) this.options.onEvents(result.value.events);
-    this.options.onCurrent?.(askedAt);
+    this.options.onCurrent?.(requestedAt);
     return true;
   }
 
@@ -95,7 +95,7 @@
   private async list(): Promise<void> {
     const { eras, store, prefix } = this.options;
     const { current: era } = eras;
-    const askedAt = this.options.clock.bootNow();
+    const requestedAt = this.options.clock.bootNow();
     const listing = await store.list(prefix);
     if (listing.isErr) {
       this.onFailure(listing.error.detail);
@@ -108,13 +108,13 @@
     this.revision = listing.value.at;
     this.options.onListing(listing.value.items);
     this.listed = true;
-    this.options.onCurrent?.(askedAt);
+    this.options.onCurrent?.(requestedAt);
     this.onFirstListing(listing.value.items);
   }
 
   private async watch(revision: number): Promise<void> {
     const { store, prefix, waitMs, random } = this.options;
-    const askedAt = this.options.clock.bootNow();
+    const requestedAt = this.options.clock.bootNow();
     const jittered = Math.round(waitMs() * (0.75 + 0.5 * random.next()));
     const result = await store.watch(prefix, revision, jittered);
     if (result.isErr) {
@@ -132,12 +132,12 @@
     // Without changes the revision stays: if an answer missed a change, a higher revision would skip that
     // change.
     if (result.value.events.length === 0) {
-      this.options.onCurrent?.(askedAt);
+      this.options.onCurrent?.(requestedAt);
       return;
     }
     this.revision = result.value.at;
     this.options.onEvents(result.value.events);
-    this.options.onCurrent?.(askedAt);
+    this.options.onCurrent?.(requestedAt);
     await this.pause(this.options.pauseAfterEventsMs());
   }
 
--- a/src/sidecar/directory/record-publisher.ts
+++ b/src/sidecar/directory/record-publisher.ts
@@ -125,7 +125,7 @@
     if (failure === undefined) {
       this.retryPauseMs = FIRST_RETRY_PAUSE_MS;
       this.written = record;
-      this.release(record);
+      this.resolveWaiters(record);
       return;
     }
     this.report(failure);
@@ -133,7 +133,7 @@
   }
 
   /** Resolves the promises for this record and for those before it; newer ones are not stored yet. */
-  private release(record: NodeRecord): void {
+  private resolveWaiters(record: NodeRecord): void {
     const last = this.waiters.findLastIndex((waiter) => waiter.record === record);
     for (const { done } of this.waiters.splice(0, last + 1)) done();
   }
@@ -144,8 +144,8 @@
     this.previous = undefined;
     if (previous?.lease === undefined) return false;
     if (!previous.value.equals(this.encode(record))) return false;
-    const kept = await this.options.store.renewLease(previous.lease);
-    if (kept.isErr || !kept.value) return false;
+    const renewed = await this.options.store.renewLease(previous.lease);
+    if (renewed.isErr || !renewed.value) return false;
     this.lease = previous.lease;
     return true;
   }
@@ -188,8 +188,8 @@
     if (this.closed) return;
     const { lease } = this;
     if (lease !== undefined) {
-      const kept = await this.options.store.renewLease(lease);
-      if (kept.isOk && !kept.value && lease === this.lease) {
+      const renewed = await this.options.store.renewLease(lease);
+      if (renewed.isOk && !renewed.value && lease === this.lease) {
         this.lease = undefined;
         this.writeAgain();
       }
--- a/src/sidecar/directory/target-lifecycle.test.ts
+++ b/src/sidecar/directory/target-lifecycle.test.ts
@@ -21,7 +21,7 @@
   targetSlots: 8,
 };
 
-const BEAT: Heartbeat = {
+const HEARTBEAT: Heartbeat = {
   type: 'heartbeat',
   targetId: 'i-1',
   address: '10.0.0.1:80',
@@ -109,8 +109,8 @@
 test('accepts the next report of a restored target, and then that it is leaving', async () => {
   const restarted = new RestartedNode(RECORD, ['i-1']);
   await restarted.restore();
-  assert.equal(await restarted.lifecycle.onReport(BEAT), 200);
-  const leaving = { ...BEAT, sequence: 2, state: 'draining' } as const;
+  assert.equal(await restarted.lifecycle.onReport(HEARTBEAT), 200);
+  const leaving = { ...HEARTBEAT, sequence: 2, state: 'draining' } as const;
   assert.equal(await restarted.lifecycle.onReport(leaving), 200);
   assert.equal(restarted.registration.current?.state, 'leaving');
 });
@@ -118,7 +118,7 @@
 test('a report that arrives first takes precedence over the record', async () => {
   const restarted = new RestartedNode(RECORD, [undefined, 'i-1']);
   const restored = restarted.restore();
-  await restarted.lifecycle.onReport({ ...BEAT, startedAt: 200, slots: 4 });
+  await restarted.lifecycle.onReport({ ...HEARTBEAT, startedAt: 200, slots: 4 });
   await restored;
   assert.equal(restarted.registration.current?.startedAt, 200);
   assert.equal(restarted.registration.current.slots, 4);
@@ -130,7 +130,7 @@
   });
   await restarted.restore();
   const states = [restarted.registration.current?.state];
-  await restarted.lifecycle.onReport(BEAT);
+  await restarted.lifecycle.onReport(HEARTBEAT);
   states.push(restarted.registration.current?.state);
   assert.ok(!states.includes('ready'), 'restored neither from the record nor by a late report');
 });
--- a/src/sidecar/directory/target-registration.ts
+++ b/src/sidecar/directory/target-registration.ts
@@ -27,7 +27,10 @@
 export type Verdict =
   /** Applied; `current` returns the new state. */
   | 'accepted'
-  /** Superseded by a newer report or incarnation. Only `draining` still takes effect, since it is final. */
+  /**
+   * Superseded by a newer report or incarnation. In a late report of the current incarnation `draining` still
+   * takes effect, since it is final.
+   */
   | 'outdated'
   /** Does not come from the local target. */
   | 'foreign'
