--- a/src/sidecar/entry/entry-listener.test.ts
+++ b/src/sidecar/entry/entry-listener.test.ts
@@ -172,7 +172,7 @@
   assert.equal(acceptedRequests.length, 1);
 });
 
-test('requests are notified which side ended their connection, and abandoned requests are answered', async () => {
+test('requests are notified of the side that ended their connection, and abandoned requests are answered', async () => {
   const [leaving, cut, patient] = [connectCaller(), connectCaller(), connectCaller()];
   leaving.write('/leaving');
   await waitForRequests(1);
--- a/src/sidecar/entry/entry-listener.ts
+++ b/src/sidecar/entry/entry-listener.ts
@@ -186,8 +186,8 @@
   }
 
   /**
-   * Answers are sent in the order of their requests, whichever is ready first. If one before the newest
-   * request's closed the connection, the answers after it would be lost.
+   * Answers are sent in the order of their requests, whichever is ready first. If an answer before that of
+   * the newest request closed the connection, the answers after it would be lost.
    */
   private shouldClose(
     connection: CallerConnection,
--- a/src/sidecar/entry/entry-service.ts
+++ b/src/sidecar/entry/entry-service.ts
@@ -84,7 +84,7 @@
   private routed: RoutedRequest | undefined;
   private context: RequestContext | undefined;
   private token: QuotaToken | undefined;
-  /** Stops waiting until the request is counted against its tenant's limit. */
+  /** Cancels the wait for the decision on the tenant's limit. */
   private cancelWait: () => void = () => {};
   /** Whether the request was answered or its connection ended. */
   private ended = false;
--- a/src/sidecar/entry/routed-request.test.ts
+++ b/src/sidecar/entry/routed-request.test.ts
@@ -55,7 +55,7 @@
 }
 
 /** One request under test. */
-class Scene {
+class RequestFixture {
   readonly clock = new ManualClock();
   readonly reports: AttemptReport[] = [];
   readonly sent: AttemptCall[] = [];
@@ -122,60 +122,60 @@
 }
 
 test('an answer ends the request and is reported to the router', () => {
-  const scene = new Scene();
-  scene.endAttempt(ANSWER);
-  assert.deepEqual(scene.executions(), [200]);
-  assert.deepEqual(scene.outcomes(), ['success']);
+  const fixture = new RequestFixture();
+  fixture.endAttempt(ANSWER);
+  assert.deepEqual(fixture.executions(), [200]);
+  assert.deepEqual(fixture.outcomes(), ['success']);
 });
 
 test('the end of an attempt whose caller disconnected is reported to the router', () => {
-  const scene = new Scene();
-  scene.request.cancel();
-  scene.endAttempt(ANSWER);
-  assert.deepEqual([scene.cancelled, scene.ends.length], [1, 0]);
-  assert.deepEqual(scene.outcomes(), ['cancelled']);
+  const fixture = new RequestFixture();
+  fixture.request.cancel();
+  fixture.endAttempt(ANSWER);
+  assert.deepEqual([fixture.cancelled, fixture.ends.length], [1, 0]);
+  assert.deepEqual(fixture.outcomes(), ['cancelled']);
 });
 
 test('the end of an attempt at the deadline is reported to the router', () => {
-  const scene = new Scene();
-  scene.clock.advance(1_000);
-  assert.deepEqual(scene.executions(), ['unknown']);
-  assert.deepEqual(scene.outcomes(), ['timeout']);
+  const fixture = new RequestFixture();
+  fixture.clock.advance(1_000);
+  assert.deepEqual(fixture.executions(), ['unknown']);
+  assert.deepEqual(fixture.outcomes(), ['timeout']);
 });
 
 test('an attempt that was not sent by the deadline is not run, and not a failure of its target', () => {
-  const scene = new Scene({ mayHaveRun: false });
-  scene.clock.advance(1_000);
-  assert.deepEqual(scene.executions(), ['not-run']);
-  assert.deepEqual(scene.outcomes(), ['cancelled']);
+  const fixture = new RequestFixture({ mayHaveRun: false });
+  fixture.clock.advance(1_000);
+  assert.deepEqual(fixture.executions(), ['not-run']);
+  assert.deepEqual(fixture.outcomes(), ['cancelled']);
 });
 
 test('an attempt at a node that is no longer known ends at once', () => {
-  const scene = new Scene({ known: false });
-  assert.deepEqual(scene.executions(), ['not-run']);
+  const fixture = new RequestFixture({ known: false });
+  assert.deepEqual(fixture.executions(), ['not-run']);
 });
 
 test('an idempotent request is sent to at most maxAttempts targets', () => {
-  const scene = new Scene();
-  scene.endAttempt(failed('failed', true));
-  scene.endAttempt(failed('failed', true));
-  assert.equal(scene.sent.length, 2);
-  assert.deepEqual(scene.executions(), ['unknown']);
+  const fixture = new RequestFixture();
+  fixture.endAttempt(failed('failed', true));
+  fixture.endAttempt(failed('failed', true));
+  assert.equal(fixture.sent.length, 2);
+  assert.deepEqual(fixture.executions(), ['unknown']);
 });
 
 test('a request that may have run and is not idempotent is not retried', () => {
-  const scene = new Scene({ idempotent: false });
-  scene.endAttempt(failed('failed', true));
-  assert.equal(scene.sent.length, 1);
-  assert.deepEqual(scene.executions(), ['unknown']);
+  const fixture = new RequestFixture({ idempotent: false });
+  fixture.endAttempt(failed('failed', true));
+  assert.equal(fixture.sent.length, 1);
+  assert.deepEqual(fixture.executions(), ['unknown']);
 });
 
 test('a request is sent to one more node after a refusal for load, to several when targets are leaving', () => {
-  const loaded = new Scene({ idempotent: false });
+  const loaded = new RequestFixture({ idempotent: false });
   for (let count = 0; count < 2; count += 1) loaded.endAttempt(failed('overloaded', false));
   assert.equal(loaded.sent.length, 2);
   assert.deepEqual(loaded.executions(), ['not-run']);
-  const leaving = new Scene({ idempotent: false });
+  const leaving = new RequestFixture({ idempotent: false });
   const end = createNotOfferedFailure('draining', ResultCode.NoTargetAvailable, 'leaving');
   for (let count = 0; count < 5; count += 1) leaving.endAttempt(end);
   assert.equal(leaving.sent.length, 6);
@@ -184,45 +184,45 @@
 });
 
 test('an idempotent request that its target failed is retried at another', () => {
-  const scene = new Scene();
-  scene.endAttempt(FAILED_ANSWER);
-  assert.equal(scene.sent.length, 2);
-  assert.equal(scene.sent[1]!.repeated, true);
-  scene.endAttempt(ANSWER);
-  assert.deepEqual(scene.executions(), [200]);
+  const fixture = new RequestFixture();
+  fixture.endAttempt(FAILED_ANSWER);
+  assert.equal(fixture.sent.length, 2);
+  assert.equal(fixture.sent[1]!.repeated, true);
+  fixture.endAttempt(ANSWER);
+  assert.deepEqual(fixture.executions(), [200]);
 });
 
 test('when the retry fails as well, the first answer is returned', () => {
   for (const end of [FAILED_ANSWER, failed('failed', true), failed('overloaded', false)]) {
-    const scene = new Scene();
-    scene.endAttempt(FAILED_ANSWER);
-    for (let count = 0; count < 5; count += 1) scene.endAttempt(end);
-    assert.deepEqual(scene.executions(), [500]);
+    const fixture = new RequestFixture();
+    fixture.endAttempt(FAILED_ANSWER);
+    for (let count = 0; count < 5; count += 1) fixture.endAttempt(end);
+    assert.deepEqual(fixture.executions(), [500]);
   }
-  const scene = new Scene();
-  scene.endAttempt(FAILED_ANSWER);
-  scene.clock.advance(1_000);
-  assert.deepEqual(scene.executions(), [500], 'at the deadline');
+  const fixture = new RequestFixture();
+  fixture.endAttempt(FAILED_ANSWER);
+  fixture.clock.advance(1_000);
+  assert.deepEqual(fixture.executions(), [500], 'at the deadline');
 });
 
 test('a failed answer is final if the request is not idempotent, under load and when time is short', () => {
-  const once = new Scene({ idempotent: false });
+  const once = new RequestFixture({ idempotent: false });
   once.endAttempt(FAILED_ANSWER);
-  const loaded = new Scene();
+  const loaded = new RequestFixture();
   const load = { inFlight: 1, queued: 1, limit: 1, latencyMs: 1, threshold: 0.1 };
   loaded.endAttempt({ ...FAILED_ANSWER, load });
-  const late = new Scene();
+  const late = new RequestFixture();
   late.clock.advance(600);
   late.endAttempt(FAILED_ANSWER);
-  const other = new Scene();
+  const other = new RequestFixture();
   other.endAttempt({ ...FAILED_ANSWER, status: 504 });
-  for (const scene of [once, loaded, late, other]) assert.equal(scene.sent.length, 1);
+  for (const fixture of [once, loaded, late, other]) assert.equal(fixture.sent.length, 1);
   assert.deepEqual(once.executions(), [500]);
 });
 
 test('a request during which targets crashed is not retried, and its execution is unknown', () => {
-  const scene = new Scene({ mayRetry: false });
-  scene.endAttempt(failed('failed', true));
-  assert.equal(scene.sent.length, 1);
-  assert.deepEqual(scene.executions(), ['unknown']);
+  const fixture = new RequestFixture({ mayRetry: false });
+  fixture.endAttempt(failed('failed', true));
+  assert.equal(fixture.sent.length, 1);
+  assert.deepEqual(fixture.executions(), ['unknown']);
 });
--- a/src/sidecar/entry/routed-request.ts
+++ b/src/sidecar/entry/routed-request.ts
@@ -107,7 +107,7 @@
     this.abortAttempt('cancelled');
   }
 
-  /** Ends the request now with this failure, which is marked if the request may have run. */
+  /** Ends the request now with this failure; its execution is `unknown` if the request may have run. */
   giveUp(failure: Failure): void {
     if (this.ended) return;
     this.abortAttempt('cancelled');
@@ -239,7 +239,7 @@
     });
   }
 
-  /** Whether to send the request to another node. Spends retry budget if a target was offered it before. */
+  /** Whether to send the request to another node. Spends retry budget if it was offered to a target before. */
   private shouldRetry({ outcome }: AttemptFailure): boolean {
     const { context, maxAttempts, clock, onlyNode } = this.options;
     if (onlyNode !== undefined) return false;
--- a/src/sidecar/entry/windowed-retry-budget.test.ts
+++ b/src/sidecar/entry/windowed-retry-budget.test.ts
@@ -47,7 +47,7 @@
   }
 });
 
-test('calls of retried attempts count as retries, and only the rest is available', () => {
+test('calls made by attempts that are retries count as retries, and only the rest is available', () => {
   const budget = new WindowedRetryBudget(OPTIONS);
   for (let count = 0; count < 30; count += 1) budget.noteRequest(5, count < 4);
   assert.equal(spendAll(budget, 10), 1);
--- a/src/sidecar/entry/windowed-retry-budget.ts
+++ b/src/sidecar/entry/windowed-retry-budget.ts
@@ -3,8 +3,8 @@
  * over a sliding window, plus its part of the slack that all nodes share. Since every node stays
  * within its part, all nodes together stay within the total without exchanging messages.
  *
- * Calls made by a retried attempt count as retries too and are recorded when they arrive. Retries of
- * the calls themselves may use what is left.
+ * Calls made by an attempt that is itself a retry count as retries too and are recorded when they
+ * arrive. Retries of the calls themselves may use what is left.
  *
  * In a large fleet a node's part is less than one retry, so that no node could retry at all if parts were
  * rounded down. Parts are rounded up at random, once a window, so that their sum keeps its mean.
@@ -46,7 +46,7 @@
   /**
    * Records a request for the service.
    *
-   * @param isFromRetry whether a retried attempt makes the request
+   * @param isFromRetry whether the attempt that makes the request is itself a retry
    */
   noteRequest(now: number, isFromRetry = false): void {
     this.advance(now);
