--- a/src/sidecar/link/link-messages.ts
+++ b/src/sidecar/link/link-messages.ts
@@ -8,7 +8,7 @@
 /** Header fields in the format of Node.js `rawHeaders`: names and values alternate. */
 export type RawFields = readonly string[];
 
-/** Whether a target takes work, as known to its sidecar. */
+/** Whether a target accepts requests, as known to its sidecar. */
 export type TargetState = 'unknown' | 'ready' | 'leaving';
 
 /** Status that a node sends when a link opens and whenever the status changes. */
@@ -16,7 +16,7 @@
   readonly node: string;
   readonly service: string;
   readonly target: TargetState;
-  /** Incarnation of the target, as text; absent while unknown. */
+  /** Incarnation of the target, as a text that differs between incarnations; absent while unknown. */
   readonly incarnation?: string;
   /** Set when the target itself reported that it leaves; otherwise `leaving` may refer to its node. */
   readonly targetLeft?: true;
--- a/src/sidecar/link/link-server.ts
+++ b/src/sidecar/link/link-server.ts
@@ -69,7 +69,7 @@
     for (const link of this.connections) link.send({ type: 'status', status });
   }
 
-  /** Sends an update about requests that ran when targets crashed to all connected nodes. */
+  /** Sends a quarantine update to all connected nodes. */
   sendUpdate(update: QuarantineUpdate): void {
     for (const link of this.connections) link.send(update);
   }
--- a/src/sidecar/link/peer-link.test.ts
+++ b/src/sidecar/link/peer-link.test.ts
@@ -200,7 +200,7 @@
   const first = received.find(({ type }) => type === 'confirmation-wanted');
   assert.ok(first?.type === 'confirmation-wanted');
   clock.advance(700);
-  const askedAgainAt = clock.now();
+  const requestedAgainAt = clock.now();
   link.requestConfirmation();
   await until(() => received.filter(({ type }) => type === 'confirmation-wanted').length === 2);
   const second = received.findLast(({ type }) => type === 'confirmation-wanted');
@@ -209,7 +209,7 @@
   sendFromPeer({ type: 'confirmation', question: first.question, confirmation });
   sendFromPeer({ type: 'confirmation', question: second.question, confirmation });
   await until(() => confirmations.length > 0);
-  assert.deepEqual(confirmations, [[40, askedAgainAt]]);
+  assert.deepEqual(confirmations, [[40, requestedAgainAt]]);
 });
 
 test('the age of a confirmation in an answer counts from the call', async () => {
--- a/src/sidecar/link/peer-link.ts
+++ b/src/sidecar/link/peer-link.ts
@@ -58,7 +58,7 @@
   /**
    * Called when the other node reports how recently its rules were confirmed.
    *
-   * @param requestedAt boot time at which that was requested; the report is not older
+   * @param requestedAt boot time of the request that the report answers; the report is not older
    */
   onRulesConfirmation(confirmation: RulesConfirmation, requestedAt: number): void;
 }
@@ -132,7 +132,7 @@
     return this.reachable || (this.phase === 'connecting' && !this.failed);
   }
 
-  /** Whether the last connection failed or the other node is unresponsive. */
+  /** Whether the last connection failed or was closed, or the other node is unresponsive. */
   get isKnownUnreachable(): boolean {
     return this.failed || this.unresponsive;
   }
@@ -170,7 +170,7 @@
     if (this.phase === 'open') this.socket?.send({ type: 'status', status });
   }
 
-  /** Sends an update about requests that ran when targets crashed. */
+  /** Sends a quarantine update to the other node. */
   sendUpdate(update: QuarantineUpdate): void {
     if (this.phase === 'open') this.socket?.send(update);
   }
