--- a/src/sidecar/plugins/directory-plugin.ts
+++ b/src/sidecar/plugins/directory-plugin.ts
@@ -41,8 +41,8 @@
           onRulesDocument: (document) => {
             get(SidecarToken.Rules).offer(Buffer.from(document), 'peer');
           },
-          onRulesConfirmation: (confirmation, askedAt) => {
-            get(SidecarToken.RulesFreshness).confirmByPeer(confirmation, askedAt);
+          onRulesConfirmation: (confirmation, requestedAt) => {
+            get(SidecarToken.RulesFreshness).confirmByPeer(confirmation, requestedAt);
           },
           isStoreAvailable: () => get(SidecarToken.DirectoryWatch).isAvailable,
           onOwnRecordLost: () => {
--- a/src/sidecar/plugins/quota-plugin.ts
+++ b/src/sidecar/plugins/quota-plugin.ts
@@ -23,7 +23,7 @@
       container.get(SidecarToken.EarlyCounting).start();
       return Promise.resolve();
     },
-    // Ends while other nodes can still be reached: the next node that is queried takes over at once.
+    // Stops counting while other nodes can still be reached, so that the next node queried takes over at once.
     drain: (container) => {
       container.get(SidecarToken.EarlyCounting).stop();
       return container.get(SidecarToken.QuotaCounting).close();
--- a/src/sidecar/plugins/rules-plugin.ts
+++ b/src/sidecar/plugins/rules-plugin.ts
@@ -76,9 +76,9 @@
           onEvents: (events) => {
             for (const event of events) if (event.type === 'put') offer(event.key, event.value);
           },
-          onCurrent: (askedAt) => {
+          onCurrent: (requestedAt) => {
             // An older version in the store comes from an older copy, which may also lack versions newer than ours.
-            if (storeVersion === rules.version) freshness.confirm(storeVersion, askedAt);
+            if (storeVersion === rules.version) freshness.confirm(storeVersion, requestedAt);
           },
         });
       });
