--- a/src/sidecar/quarantine/request-quarantine.ts
+++ b/src/sidecar/quarantine/request-quarantine.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps requests during which targets crashed from the remaining targets. The crashes that this node has seen
- * and the reports of all other nodes are merged in one table. They are gossiped over open links, since the
- * store may be unavailable when targets crash.
+ * Keeps a request away from the remaining targets after targets crashed while they ran it. The crashes that
+ * this node has seen and the reports of all other nodes are merged in one table. They are gossiped over open
+ * links, since the store may be unavailable when targets crash.
  */
 import { createFailure, type Failure } from '../../core/failure.js';
 import {
@@ -106,7 +106,8 @@
   /** Records that the local target answered a request completely. */
   noteServed(call: AttemptCall): void {
     const key = keyOfCall(call);
-    // Other nodes let suspicions of a single crash expire: most of these requests are never sent again.
+    // Not broadcast after a single crash: other nodes let the suspicion expire, since most such requests are
+    // never sent again.
     if (this.clear(key) < HELD_CRASHES) return;
     this.options.broadcast({ type: 'requests-cleared', requests: [key] });
   }
