--- a/src/sidecar/quota/quota-lease.ts
+++ b/src/sidecar/quota/quota-lease.ts
@@ -96,31 +96,31 @@
 
   private async tryAcquire(): Promise<void> {
     const { store, node, clock } = this.options;
-    const askedAt = clock.bootNow();
+    const requestedAt = clock.bootNow();
     const read = await store.read(this.key);
     if (read.isErr) return;
     const item = read.value;
     const holder = item?.value.toString('utf8') ?? NO_HOLDER;
     this.knownHolder = holder === NO_HOLDER ? undefined : holder;
-    if (holder === node) await this.adopt(item!, askedAt);
-    else if (holder === NO_HOLDER) await this.take(item?.revision ?? 0);
+    if (holder === node) await this.adopt(item!, requestedAt);
+    else if (holder === NO_HOLDER) await this.acquireKey(item?.revision ?? 0);
   }
 
   /** Continues a lease that this process or an earlier process of this node holds. */
-  private async adopt(item: StoreItem, askedAt: number): Promise<void> {
+  private async adopt(item: StoreItem, requestedAt: number): Promise<void> {
     if (item.lease === undefined) return;
-    const kept = await this.options.store.renewLease(item.lease);
-    if (kept.isOk && kept.value) this.onHeld(item.lease, item.revision, askedAt);
+    const renewed = await this.options.store.renewLease(item.lease);
+    if (renewed.isOk && renewed.value) this.onHeld(item.lease, item.revision, requestedAt);
   }
 
-  private async take(revision: number): Promise<void> {
+  private async acquireKey(revision: number): Promise<void> {
     const { store, node, clock } = this.options;
-    const askedAt = clock.bootNow();
+    const requestedAt = clock.bootNow();
     const granted = await store.grantLease(LEASE_TTL_MS);
     if (granted.isErr) return;
     this.revision = revision;
     const written = await this.write(node, granted.value.id);
-    if (written !== undefined) this.onHeld(granted.value.id, written, askedAt);
+    if (written !== undefined) this.onHeld(granted.value.id, written, requestedAt);
   }
 
   /** @returns revision of the write; undefined when it failed or its outcome is unknown */
@@ -134,23 +134,23 @@
     return result.isOk && result.value.type === 'committed' ? result.value.revision : undefined;
   }
 
-  private onHeld(lease: string, revision: number, askedAt: number): void {
+  private onHeld(lease: string, revision: number, requestedAt: number): void {
     if (this.closed) return;
     const { group, node, log, onAcquired } = this.options;
     // The same lease without a gap: no other node has counted in the meantime.
     const isSame = lease === this.lease;
     this.lease = lease;
     this.revision = revision;
-    this.confirmedAt = askedAt;
+    this.confirmedAt = requestedAt;
     this.knownHolder = node;
     if (!isSame) {
       log.emit(Event.QuotaCountingBegun, { group });
       onAcquired();
     }
-    this.renewLater();
+    this.scheduleRenewal();
   }
 
-  private renewLater(): void {
+  private scheduleRenewal(): void {
     this.cancelRenewal();
     this.cancelRenewal = this.options.clock.schedule(RENEW_INTERVAL_MS, () => {
       void this.renew();
@@ -160,15 +160,15 @@
   private async renew(): Promise<void> {
     const { lease } = this;
     if (this.closed || lease === undefined) return;
-    const askedAt = this.options.clock.bootNow();
-    const kept = await this.options.store.renewLease(lease);
+    const requestedAt = this.options.clock.bootNow();
+    const renewed = await this.options.store.renewLease(lease);
     if (lease !== this.lease) return;
-    if (kept.isOk && !kept.value) {
+    if (renewed.isOk && !renewed.value) {
       this.lose('the lease has expired');
       return;
     }
-    if (kept.isOk) this.confirmedAt = askedAt;
-    this.renewLater();
+    if (renewed.isOk) this.confirmedAt = requestedAt;
+    this.scheduleRenewal();
   }
 
   private lose(detail: string): void {
--- a/src/sidecar/quota/quota-messages.ts
+++ b/src/sidecar/quota/quota-messages.ts
@@ -18,5 +18,5 @@
 
 /** Destination of queries: the counting of this node, or a link to another node. */
 export interface QuotaPort {
-  queryQuota(question: QuotaQuery, onReply: OnQuotaReply): void;
+  queryQuota(query: QuotaQuery, onReply: OnQuotaReply): void;
 }
--- a/src/sidecar/quota/tenant-quotas.ts
+++ b/src/sidecar/quota/tenant-quotas.ts
@@ -114,10 +114,10 @@
     this.lastQuery += 1;
     const query = this.lastQuery;
     this.current = query;
-    const askedAt = this.options.clock.bootNow();
+    const requestedAt = this.options.clock.bootNow();
     this.scheduleTimeout(query, node);
     port.queryQuota({ group: this.group, requests }, (reply) => {
-      if (this.current === query) this.onReply(node, reply, askedAt);
+      if (this.current === query) this.onReply(node, reply, requestedAt);
     });
   }
 
@@ -134,12 +134,12 @@
     });
   }
 
-  private onReply(node: string, reply: QuotaReply, askedAt: number): void {
+  private onReply(node: string, reply: QuotaReply, requestedAt: number): void {
     if (reply.type === 'grants') {
       this.holder = node;
       this.skippedNodes.clear();
       this.endQuery();
-      this.share.onGrants(reply.grants, askedAt);
+      this.share.onGrants(reply.grants, requestedAt);
       this.sendQuery();
       return;
     }
