--- a/src/sidecar/rules/freshness-refresher.ts
+++ b/src/sidecar/rules/freshness-refresher.ts
@@ -15,7 +15,7 @@
 const PEER_REPLY_WAIT_MS = 60;
 /** Time without a check of an API key after which a node is idle, in milliseconds. */
 const IDLE_AFTER_MS = 5_000;
-/** How long before keys are no longer accepted an idle node refreshes at the latest, in milliseconds. */
+/** An idle node refreshes at least this long before keys would no longer be accepted, in milliseconds. */
 const IDLE_LEAD_MS = 700;
 /** Time until the next attempt when nobody confirmed the rules, in milliseconds. */
 const RETRY_MS = 300;
--- a/src/sidecar/rules/route-table.test.ts
+++ b/src/sidecar/rules/route-table.test.ts
@@ -58,7 +58,7 @@
     { service: 'never', weight: 0 },
   ];
   const found = new RouteTable(rules([route({ shares })])).find('a.example', '/x/1')!;
-  for (let stretch = 0; stretch < 5; stretch += 1) {
+  for (let round = 0; round < 5; round += 1) {
     const services = Array.from({ length: 100 }, () => found.nextService());
     assert.equal(services.filter((service) => service === 's').length, 90);
     assert.equal(services.filter((service) => service === 't').length, 10);
@@ -67,10 +67,10 @@
 
 test('rejects an inconsistent document as a whole', () => {
   const unknown = route({ shares: [{ service: 'u', weight: 1 }] });
-  const nowhere = route({ shares: [{ service: 's', weight: 0 }] });
+  const withoutWeight = route({ shares: [{ service: 's', weight: 0 }] });
   assert.ok(checkRules(rules([route({})])).isOk);
   assert.ok(checkRules(rules([unknown])).isErr);
-  assert.ok(checkRules(rules([nowhere])).isErr);
+  assert.ok(checkRules(rules([withoutWeight])).isErr);
   assert.ok(checkRules(rules([route({}), route({ name: 'q' })])).isErr);
 });
 
--- a/src/sidecar/rules/rules-freshness.test.ts
+++ b/src/sidecar/rules/rules-freshness.test.ts
@@ -27,9 +27,9 @@
 });
 
 test('the age counts from the request to the store, not from its answer', () => {
-  const askedAt = clock.bootNow();
+  const requestedAt = clock.bootNow();
   clock.advance(900);
-  freshness.confirm(7, askedAt);
+  freshness.confirm(7, requestedAt);
   assert.equal(freshness.ageMs(), 900);
   assert.equal(freshness.remainingMs(), MAX_AGE_MS - 900);
 });
@@ -63,9 +63,9 @@
 });
 
 test('the confirmation for other nodes has the age that it has at this node', () => {
-  const askedAt = clock.bootNow();
+  const requestedAt = clock.bootNow();
   clock.advance(200);
-  freshness.confirmByPeer({ version: 7, ageMs: 300 }, askedAt);
+  freshness.confirmByPeer({ version: 7, ageMs: 300 }, requestedAt);
   clock.advance(50);
   assert.deepEqual(freshness.confirmation, { version: 7, ageMs: 550 });
 });
--- a/src/sidecar/rules/rules-freshness.ts
+++ b/src/sidecar/rules/rules-freshness.ts
@@ -52,10 +52,10 @@
   /**
    * Records a confirmation from another node.
    *
-   * @param askedAt boot time before which the other node did not write its message
+   * @param requestedAt boot time of the request that the message answers; the message is not older
    */
-  confirmByPeer({ version, ageMs }: RulesConfirmation, askedAt: number): void {
-    this.confirm(version, askedAt - ageMs);
+  confirmByPeer({ version, ageMs }: RulesConfirmation, requestedAt: number): void {
+    this.confirm(version, requestedAt - ageMs);
   }
 
   /** Confirmation to send to other nodes; undefined: none. */
