--- a/src/sidecar/target/target-crash-watch.test.ts
+++ b/src/sidecar/target/target-crash-watch.test.ts
@@ -47,7 +47,7 @@
   }
 }
 
-test('all requests interrupted and new connections refused: a crash, reported before they end', async () => {
+test('reports a crash before requests end when all are interrupted and new connections are refused', async () => {
   const interrupting = interrupt('a', 'b', 'a');
   assert.deepEqual(released, []);
   await interrupting;
@@ -94,7 +94,7 @@
   assert.deepEqual(crashes, [['a']]);
 });
 
-test('a new incarnation does not attribute much earlier interruptions to a crash', async () => {
+test('interruptions long before a new incarnation are not attributed to a crash', async () => {
   refusing = false;
   await interrupt('a');
   clock.advance(11_000);
--- a/src/sidecar/target/target-gateway.ts
+++ b/src/sidecar/target/target-gateway.ts
@@ -142,7 +142,7 @@
     this.lastTicket += 1;
     const ticket = this.lastTicket;
     const context = createContext(call, now);
-    this.add(ticket, {
+    this.addTicket(ticket, {
       call,
       deadline: context.deadline,
       context,
@@ -193,12 +193,12 @@
     ticket?.gate.noteDownstream(this.options.clock.now(), service, threshold, ticket.context.kind);
   }
 
-  private add(ticketId: number, ticket: Ticket): void {
+  private addTicket(ticketId: number, ticket: Ticket): void {
     this.tickets.set(ticketId, ticket);
     this.byAttempt.set(ticket.call.attemptId, ticket);
   }
 
-  private take(ticketId: number): Ticket | undefined {
+  private removeTicket(ticketId: number): Ticket | undefined {
     const ticket = this.tickets.get(ticketId);
     if (ticket === undefined) return undefined;
     this.tickets.delete(ticketId);
@@ -319,7 +319,7 @@
     const { clock } = this.options;
     const refusal = this.checkAuthorization(call.authorization, clock.bootNow() - arrivedAt);
     if (refusal === undefined) return false;
-    this.take(ticketId);
+    this.removeTicket(ticketId);
     const actions = gate.complete(clock.now(), ticketId, 'cancelled');
     onEnd(refusal);
     this.apply(actions);
@@ -327,7 +327,7 @@
   }
 
   private onExchangeEnd(ticketId: number, targetId: string, exchange: ExchangeEnd): void {
-    const ticket = this.take(ticketId);
+    const ticket = this.removeTicket(ticketId);
     if (ticket === undefined) return;
     const { gate } = ticket;
     const now = this.options.clock.now();
@@ -382,7 +382,7 @@
   }
 
   private refuse(ticketId: number, { code, detail, retryAfterMs }: Refusal): void {
-    const ticket = this.take(ticketId);
+    const ticket = this.removeTicket(ticketId);
     if (ticket === undefined) return;
     const load = ticket.gate.report(this.options.clock.now(), ticket.context);
     ticket.onEnd({ ...createNotOfferedFailure('overloaded', code, detail, retryAfterMs), load });
@@ -390,7 +390,7 @@
 
   private cancel(ticketId: number): boolean {
     if (this.interrupted.delete(ticketId)) return true;
-    const ticket = this.take(ticketId);
+    const ticket = this.removeTicket(ticketId);
     if (ticket === undefined) return false;
     const now = this.options.clock.now();
     if (ticket.abort === undefined) {
@@ -407,7 +407,7 @@
     const now = this.options.clock.now();
     for (const [ticketId, ticket] of [...this.tickets]) {
       if (ticket.abort !== undefined) continue;
-      this.take(ticketId);
+      this.removeTicket(ticketId);
       ticket.gate.cancel(now, ticketId);
       ticket.onEnd(createLeavingFailure());
     }
@@ -456,7 +456,10 @@
   return { ...end, refusedBelow: true };
 }
 
-/** A failure reported by the target shows nothing about its speed, and routing should send it less. */
+/**
+ * A failure that the target reports shows nothing about its speed, and the router should send the target fewer
+ * requests.
+ */
 function outcomeOf(end: AttemptEnd): AttemptOutcome {
   if (end.type === 'failure') return end.outcome;
   return end.status === INTERNAL_SERVER_ERROR ? 'failed' : 'success';
