--- a/src/sidecar/tenants/request-authorizer.ts
+++ b/src/sidecar/tenants/request-authorizer.ts
@@ -12,13 +12,13 @@
 /** Retry delay for callers when the rules change while their request is in progress, in milliseconds. */
 const CHANGED_RETRY_MS = 50;
 
-/** Facts about a request that its header gives. */
+/** Data of a request on which its authorization depends. */
 export interface RequestHead {
   /** API key that the caller sent; undefined: none. */
   readonly apiKey: string | undefined;
-  /** Whether the request identifies itself as a call that a target makes for a request that it serves. */
+  /** Whether its attempt id is that of a call that a target makes for a request that it serves. */
   readonly isCall: boolean;
-  /** Whether the local target serves that request now. */
+  /** Whether the local target serves the parent request of that call now. */
   readonly isParentRunning: boolean;
 }
 
