--- a/src/sidecar/tenants/request-authorizer.ts
+++ b/src/sidecar/tenants/request-authorizer.ts
@@ -72,10 +72,11 @@
   recheck(authorization: Authorization, validForMs: number): Failure | undefined {
     const { tenant, fingerprint, rulesVersion } = authorization;
     const table = this.options.table();
-    const isNewer = table !== undefined && table.rules.version >= rulesVersion;
-    if (isNewer && table.tenants?.isHeldBy(tenant, fingerprint) !== true) return changed();
+    const hasSameOrNewerRules = table !== undefined && table.rules.version >= rulesVersion;
+    if (hasSameOrNewerRules && table.tenants?.isHeldBy(tenant, fingerprint) !== true)
+      return changed();
     if (validForMs > 0) return undefined;
-    return isNewer && this.options.freshness.remainingMs() > 0 ? undefined : outdated();
+    return hasSameOrNewerRules && this.options.freshness.remainingMs() > 0 ? undefined : outdated();
   }
 }
 
