--- a/src/core/admission/dagor-controller.ts
+++ b/src/core/admission/dagor-controller.ts
@@ -1,7 +1,7 @@
 /**
  * Admission threshold that is stepped by the queueing time, as in DAGOR (SoCC 2018): the
  * admitted load falls by the share `alpha` in each interval with a high queueing time and
- * rises by the share `beta` in every other. For comparison with {@link OfferedLoadController}.
+ * rises by the share `beta` in all others. For comparison with {@link OfferedLoadController}.
  */
 import { OfferedLoad } from './offered-load.js';
 import type { GateState, ThresholdController } from './threshold-controller.js';
--- a/src/core/attempt-budget.ts
+++ b/src/core/attempt-budget.ts
@@ -11,8 +11,8 @@
 
 /**
  * Fewest attempts with which a call of `service` can succeed: one for itself, and the need of
- * every service that it calls. A service that calls itself, directly or through others, counts
- * without its calls there.
+ * every service that it calls. A service that is called again below itself counts there without
+ * its calls.
  */
 export function minimalNeed(service: string, callsOf: CallGraph): number {
   return Math.min(MAX_NEED, needOf(service, callsOf, new Set()));
@@ -70,8 +70,9 @@
   }
 
   /**
-   * Grants attempts to the next attempt. Reserves enough for one more complete attempt when the
-   * budget allows it, so that one lost answer does not end the retries.
+   * Grants the next attempt a part of the budget, for itself and the calls below it. Reserves
+   * enough for one more complete attempt when the budget allows it, so that one lost answer does
+   * not end the retries.
    *
    * @returns the grant, 0 when nothing is left
    */
--- a/src/core/claim/claim-coordinator.ts
+++ b/src/core/claim/claim-coordinator.ts
@@ -86,7 +86,7 @@
     return this.listReplies().flatMap((reply) => (reply.type === 'granted' ? [reply.vote] : []));
   }
 
-  /** One replica suffices: it writes such an entry only after a dispatch, or about the key itself. */
+  /** One reply suffices: a replica sends these only after a dispatch, or for the key itself. */
   private findRefusal(): ClaimVerdict | undefined {
     const replies = this.listReplies();
     const finished = replies.filter((reply) => reply.type === 'finished');
--- a/src/core/claim/claim-limits.ts
+++ b/src/core/claim/claim-limits.ts
@@ -24,7 +24,7 @@
 /** Maximum number of attempt budgets at one replica; more are refused. */
 export const MAX_BUDGETS = 20_000;
 
-/** Largest answer kept for retries, in bytes with its header fields. */
+/** Largest answer kept for retries, in bytes of body and header fields. */
 export const MAX_KEPT_ANSWER_BYTES = 65_536;
 
 /** Bytes of answers that one replica keeps; the oldest are evicted first. */
--- a/src/core/claim/claim-replica.ts
+++ b/src/core/claim/claim-replica.ts
@@ -181,7 +181,7 @@
     return { type: 'granted', vote: this.vote() };
   }
 
-  /** Records rounds whose release arrives before their claim, so that the claim is not granted. */
+  /** Records a round whose release arrives before its claim, so that the claim is not granted. */
   private onRelease(request: ReleaseMessage): ReplicaReply {
     if (!this.keepsTable()) return this.notVoting();
     const wasHolder = this.table.release(request.key, request.attemptId);
@@ -260,7 +260,7 @@
     this.table.clear();
   }
 
-  /** The only replica of a group has no other member to read: its memory is permanently lost. */
+  /** Starts reading the other members; the only replica of a group has none: its memory is lost. */
   private startRecovery(): void {
     this.state = 'recovering';
     this.known.set(this.self.nodeId, this.self.incarnation);
--- a/src/core/claim/group-loss.ts
+++ b/src/core/claim/group-loss.ts
@@ -1,4 +1,4 @@
-/** Detects from the replies of its members that a replica group has permanently lost its memory. */
+/** Detects that a replica group has permanently lost its memory, from its members' replies. */
 import { MAX_CLOCK_SKEW_MS } from './claim-limits.js';
 import { majorityOf, type PlacementRecord } from './placement.js';
 import type { ReplicaStatus } from './replica-messages.js';
--- a/src/core/forwarded-fields.test.ts
+++ b/src/core/forwarded-fields.test.ts
@@ -88,7 +88,7 @@
   ]);
 });
 
-test('baggage: own members are replaced, members of others pass', () => {
+test('baggage: members of sillshore are replaced, all others pass', () => {
   const own = { parentAttemptId: 'n.1.a', nodeId: 'n', deadlineMs: 12.7, requestId: 'r' };
   const before: HeaderFields = [
     ['Baggage', 'user=1;p=2, sillshore-parent=old'],
--- a/src/core/limit/aimd-limit.ts
+++ b/src/core/limit/aimd-limit.ts
@@ -9,7 +9,7 @@
   readonly maxLimit: number;
   /** A mean latency above this multiple of the lowest mean counts as congestion. Default 2. */
   readonly congestionRatio?: number;
-  /** Factor on the limit on congestion. Default 0.9. */
+  /** Factor by which congestion reduces the limit. Default 0.9. */
   readonly decrease?: number;
   /** Shortest time between two decreases, in milliseconds. Default 100. */
   readonly decreaseIntervalMs?: number;
@@ -23,7 +23,7 @@
 /** Samples before the mean latency is used. */
 const WARM_UP_SAMPLES = 50;
 
-/** Adds one per limit's worth of successful answers, takes off a tenth on congestion. */
+/** Adds one per limit's worth of successful answers; by default takes off a tenth on congestion. */
 export class AimdLimit implements ConcurrencyLimit {
   private limit: number;
   private samples = 0;
--- a/src/core/limit/knee-search.ts
+++ b/src/core/limit/knee-search.ts
@@ -1,5 +1,5 @@
 /**
- * Searches for the limit with the highest throughput, among the target's slots and slightly fewer.
+ * Searches for the limit with the highest throughput: the target's slots, or slightly fewer.
  * Some targets slow down when their last slots are taken, and answer more with a few slots less.
  *
  * While requests wait for slots, each candidate limit applies for a number of answers. Candidates are
@@ -18,7 +18,7 @@
 const ANSWERS_PER_SLOT = 3;
 /** A kind counts when it has this many answers under each candidate that is compared. */
 const MIN_ANSWERS_PER_KIND = 8;
-/** Factor in throughput by which a lower limit must win: more than chance explains. */
+/** A lower limit must raise the throughput by this factor, which is more than chance explains. */
 const MIN_GAIN = 1.06;
 /** Largest share of a trial's answers at which no request waits; above it the search is abandoned. */
 const MAX_UNSATURATED_SHARE = 0.2;
--- a/src/core/limit/limit-comparison.test.ts
+++ b/src/core/limit/limit-comparison.test.ts
@@ -224,7 +224,7 @@
   ]),
 );
 
-test('the throughput limit gives at least 95% of the capacity wherever it can be known', (t) => {
+test('the throughput limit gives at least 95% of the capacity unless too few slots are assumed', (t) => {
   for (const [name, ratios] of table) {
     t.diagnostic(`${name}: ${JSON.stringify(ratios, (_, value: unknown) => round(value))}`);
   }
--- a/src/core/limit/refusal-ceiling.ts
+++ b/src/core/limit/refusal-ceiling.ts
@@ -6,7 +6,7 @@
  */
 import { RefusalPattern } from './refusal-pattern.js';
 
-/** Shortest pause before a step, in milliseconds. */
+/** Base of the pause before a step, in ms; the first refusal and each refused step double it. */
 const FIRST_PAUSE_MS = 100;
 const MAX_PAUSE_MS = 3_200;
 
@@ -41,7 +41,7 @@
     this.nextStepAt = now + this.pauseMs;
   }
 
-  /** Raises the ceiling by one step; the next step needs a ceiling's worth of answers first. */
+  /** Raises the ceiling by one after the pause; then again per ceiling's worth of answers. */
   onSuccess(now: number, inFlight: number): void {
     this.pattern.note(now, false, inFlight, this.limit);
     if (this.ceiling === Infinity || now < this.nextStepAt) return;
--- a/src/core/membership/anti-entropy.ts
+++ b/src/core/membership/anti-entropy.ts
@@ -34,7 +34,7 @@
   return hashes;
 }
 
-/** Compares the hashes of a request and replies with the first page of members that differ. */
+/** Compares the hashes of a request; replies with one page of the members of differing buckets. */
 export function answerSync(state: ProtocolState, request: MemberSyncRequest): MemberSyncReply {
   if (request.hashes.length === 0) return { buckets: [], updates: [], next: '' };
   const own = hashBuckets(state);
--- a/src/core/membership/exchange-schedule.ts
+++ b/src/core/membership/exchange-schedule.ts
@@ -7,7 +7,7 @@
 const JOIN_INTERVAL_MS = 1_000;
 /** Minimum interval between exchanges that joining or returning members cause. */
 const MIN_JOIN_EXCHANGE_INTERVAL_MS = 2_000;
-/** Time for which a view must be unchanged before a different one causes an exchange. */
+/** Time for which this node's view must be unchanged before a different one causes an exchange. */
 const STABLE_VIEW_MS = 800;
 /** Minimum interval between exchanges that different views cause. */
 const MIN_REPAIR_INTERVAL_MS = 2_000;
--- a/src/core/membership/gossip-queue.ts
+++ b/src/core/membership/gossip-queue.ts
@@ -51,7 +51,7 @@
   /**
    * Takes the updates for one datagram.
    *
-   * @param maxBytes total size of the updates
+   * @param maxBytes largest total size of the updates, those of `first` included
    * @param maxTransmits transmissions after which an update is dropped
    * @param first updates to put first, not counted as transmissions
    */
--- a/src/core/membership/member-update.ts
+++ b/src/core/membership/member-update.ts
@@ -11,7 +11,7 @@
 export interface FactsUpdate {
   readonly type: 'facts';
   readonly facts: MemberFacts;
-  /** The node has announced its planned stop. */
+  /** Whether the node has announced its planned stop. */
   readonly leaving: boolean;
 }
 
--- a/src/core/membership/membership-message.ts
+++ b/src/core/membership/membership-message.ts
@@ -29,7 +29,7 @@
   readonly probe: number;
   /** The node that is alive. */
   readonly subject: string;
-  /** The answering node lacks the facts of the node that sent the ping. */
+  /** Whether the answering node lacks the facts of the node that sent the ping. */
   readonly factsWanted: boolean;
 }
 
--- a/src/core/membership/protocol-state.ts
+++ b/src/core/membership/protocol-state.ts
@@ -35,7 +35,7 @@
 export class ProtocolState {
   readonly table: MemberTable;
   readonly queue = new GossipQueue();
-  /** This node has announced its stop. */
+  /** Whether this node has announced its stop. */
   leaving = false;
   /** Lifeguard's local health score: 0 is healthy. */
   localHealth = 0;
--- a/src/core/membership/update-merger.ts
+++ b/src/core/membership/update-merger.ts
@@ -23,9 +23,12 @@
 /** Source of updates. */
 export interface UpdateSource {
   readonly nodeId: string;
-  /** From a state exchange: a member that the peer holds failed may only have been partitioned. */
+  /**
+   * Whether the updates come from a state exchange: a member that the peer considers failed may
+   * only have been partitioned.
+   */
   readonly isSync: boolean;
-  /** This node is just joining: the other members already know what it learns. */
+  /** Whether this node is just joining: the other members already know what it learns. */
   readonly isJoin?: boolean;
 }
 
--- a/src/core/overload.ts
+++ b/src/core/overload.ts
@@ -78,7 +78,7 @@
   | { readonly type: 'target'; readonly target: string }
   | { readonly type: 'refuse'; readonly refusal: Refusal };
 
-/** Whether to try again after a failed attempt. */
+/** Whether to retry after a failed attempt. */
 export type RetryDecision =
   | { readonly type: 'retry'; readonly delayMs: number }
   | { readonly type: 'give-up'; readonly refusal: Refusal };
--- a/src/core/policies/bounded-gate.ts
+++ b/src/core/policies/bounded-gate.ts
@@ -12,7 +12,7 @@
 export interface BoundedGateOptions {
   readonly limit: ConcurrencyLimit;
   readonly queue: WaitingQueue;
-  /** Most requests that may wait. */
+  /** Maximum number of waiting requests. */
   readonly maxQueued: number;
   /** Whether a waiting request is refused at its deadline; else it is dispatched too late. */
   readonly refusesAtDeadline: boolean;
--- a/src/core/quarantine/suspect-table.ts
+++ b/src/core/quarantine/suspect-table.ts
@@ -55,13 +55,13 @@
 const BARRED_RETRY_MS = 30_000;
 /** Time for which a request that is not barred stays suspect, in milliseconds. */
 const SUSPECT_TTL_MS = 60_000;
-/** A barred request is discarded when it was not requested for this long, in milliseconds. */
+/** Time after its last arrival or crash at which a barred request is discarded, in milliseconds. */
 const BARRED_TTL_MS = 600_000;
 /** Crashes that are kept per content; more change nothing. */
 const MAX_CRASHES = 8;
-/** Contents that are retained as suspect. */
+/** Maximum number of contents that are retained as suspect. */
 const MAX_SUSPECTS = 1_024;
-/** Contents that are retained as answered. */
+/** Maximum number of contents that are retained as answered. */
 const MAX_SERVED = 2_048;
 const FREE: Verdict = { type: 'free' };
 
--- a/src/core/quota/quota-counter.test.ts
+++ b/src/core/quota/quota-counter.test.ts
@@ -50,7 +50,7 @@
   assert.equal(counter.grant(2_000, request(5, 0, 3), LIMIT).granted, 3);
 });
 
-test('a lower limit counts at once', () => {
+test('a lower limit applies at once', () => {
   const counter = new QuotaCounter(0);
   counter.grant(2_000, request(1), LIMIT);
   assert.equal(counter.grant(2_000, request(50), { requestsPerSecond: 1, burst: 2 }).granted, 2);
--- a/src/core/quota/quota-counter.ts
+++ b/src/core/quota/quota-counter.ts
@@ -42,7 +42,7 @@
 const MS_PER_SECOND = 1_000;
 /** Share of the burst that is kept for waiting requests. */
 const WAITING_RESERVE_SHARE = 0.5;
-/** Smallest capacity of a bucket; tenants with a lower burst could make no request. */
+/** Smallest capacity of a bucket, in requests; with a lower one, small tenants could make none. */
 const MIN_BURST = 1;
 /** Longest retry time for refused callers, in milliseconds. */
 const MAX_RETRY_AFTER_MS = 5_000;
--- a/src/core/quota/quota-share.ts
+++ b/src/core/quota/quota-share.ts
@@ -128,8 +128,9 @@
   }
 
   /**
-   * Quota requests for the node that counts; empty when no request waits. The reply goes to {@link onGrants}.
-   * They include expected requests, since a separate message would wake both nodes once more.
+   * Creates quota requests for the node that counts; empty when no request waits. The reply goes to
+   * {@link onGrants}. Expected requests are included, because a separate message for them would wake both
+   * nodes once more.
    */
   createRequests(): readonly QuotaRequest[] {
     return [...this.waitingTenants].map((tenant) =>
@@ -150,7 +151,7 @@
     for (const share of this.shares.values()) share.requestedCount = 0;
   }
 
-  /** Decides on requests that have waited too long, as uncounted. */
+  /** Ends waits that have lasted too long, with the decision `uncounted`. */
   expireWaits(): void {
     for (const tenant of [...this.waitingTenants]) {
       const share = this.shares.get(tenant)!;
--- a/src/core/retry/retry-budget.ts
+++ b/src/core/retry/retry-budget.ts
@@ -6,7 +6,7 @@
 export interface RetryBudgetOptions {
   /** Tokens earned by one success. */
   readonly ratio: number;
-  /** Most tokens kept. */
+  /** Maximum number of tokens. */
   readonly capacity: number;
 }
 
--- a/src/core/retry/retry.test.ts
+++ b/src/core/retry/retry.test.ts
@@ -61,9 +61,9 @@
     code: ResultCode.TargetUnreachable,
   },
   { name: 'timeout', state: { lastOutcome: 'timeout' }, code: ResultCode.AnswerTimeout },
-  { name: 'overloaded, another has room', state: { lastOutcome: 'overloaded' } },
+  { name: 'overloaded, another target has spare capacity', state: { lastOutcome: 'overloaded' } },
   {
-    name: 'overloaded, none has room',
+    name: 'overloaded, no target has spare capacity',
     state: { lastOutcome: 'overloaded' },
     environment: { hasSpareCapacity: false },
     code: ResultCode.TargetRefused,
--- a/src/core/routing/target-subset.test.ts
+++ b/src/core/routing/target-subset.test.ts
@@ -46,7 +46,7 @@
 
 const callers = Array.from({ length: CALLERS }, (_, index) => `caller-${index}`);
 
-test('a small service is used whole', () => {
+test('a caller uses all targets of a small service', () => {
   const targets = createTargets(24);
   assert.deepEqual(
     subsetOf('caller-1', targets),
