--- a/src/claims/charge-requester.ts
+++ b/src/claims/charge-requester.ts
@@ -1,4 +1,4 @@
-/** Charges attempts of a request id to its replica group; all entry nodes share one bound. */
+/** Charges attempts of a request id to its replica group, so that entry nodes share one bound. */
 import { Result } from 'true-myth';
 import type { BudgetCharge } from '../core/claim/attempt-budgets.js';
 import { ChargeRound, type ChargeOutcome } from '../core/claim/charge-coordinator.js';
@@ -8,7 +8,7 @@
 import { settleRound, type RequesterOptions } from './request-round.js';
 import { pause } from '../kernel/pause.js';
 
-/** Maximum rounds of one charge in which concurrent charges may split the slots. */
+/** Maximum number of rounds of one charge in which concurrent charges split the slots. */
 const MAX_SPLIT_ROUNDS = 4;
 
 /** Largest bound that the replicas keep slots for. */
@@ -43,16 +43,16 @@
   async chargeReturnable(charge: AttemptCharge): Promise<Result<ChargeGrant, Failure>> {
     const key = `${charge.tenant}/${charge.requestId}`;
     let splits = 0;
-    let majorityAnswers = false;
+    let majorityReplied = false;
     while (this.options.clock.now() < charge.deadline && splits < MAX_SPLIT_ROUNDS) {
-      const ended = await this.runRound(key, charge);
-      if (ended === undefined) break;
-      const { budget, outcome } = ended;
+      const result = await this.runRound(key, charge);
+      if (result === undefined) break;
+      const { budget, outcome } = result;
       if (outcome.slots.length > 0) return Result.ok(this.createGrant(budget, outcome.slots));
       if (outcome.majorityReplied) {
         if (!outcome.split) return refuseExhausted('all attempts of this request id are used');
         splits += 1;
-        majorityAnswers = true;
+        majorityReplied = true;
       }
       // Replicas that give no majority may be changing their epoch, which takes less time than a
       // charge may wait.
@@ -61,7 +61,7 @@
         1 + this.options.random.next() * this.options.timing.retryJitterMs,
       );
     }
-    return majorityAnswers ? refuseContended() : refuseWithoutMajority();
+    return majorityReplied ? refuseContended() : refuseWithoutMajority();
   }
 
   /** Runs one round under its own charge id; releases the slots that the charge does not use. */
--- a/src/claims/claim-release.test.ts
+++ b/src/claims/claim-release.test.ts
@@ -33,7 +33,7 @@
 }
 
 for (const delayMs of [1, 7, 20, 60]) {
-  test(`after a planned stop no ended claim keeps its key, messages take ${delayMs} ms`, async () => {
+  test(`after a planned stop no released claim keeps its key, messages take ${delayMs} ms`, async () => {
     const fleet = await createClaimFleet();
     fleet.delayAll(delayMs);
     const drained = fleet.nodes.get('a')!.drain();
--- a/src/claims/epoch-changer.ts
+++ b/src/claims/epoch-changer.ts
@@ -46,7 +46,8 @@
 
   /**
    * Queries nodes for their incarnations. Leaves out nodes that are about to stop, and new ones
-   * that do not reply. A current member that does not reply stays while the others are a majority.
+   * that do not reply. A current member that does not reply stays if the responsive ones are a
+   * majority.
    */
   async findMembers(
     old: PlacementRecord | undefined,
@@ -102,9 +103,9 @@
   /** Whether the members differ from the current ones, or an unfinished change blocks votes. */
   private isChangeNeeded(old: PlacementRecord, members: readonly Incarnation[]): boolean {
     if (this.options.replica.view.status === 'sealed') return true;
-    const isPresent = (each: Incarnation): boolean =>
+    const isCurrentMember = (each: Incarnation): boolean =>
       old.members.some((member) => member.nodeId === each.nodeId);
-    return members.length !== old.members.length || !members.every(isPresent);
+    return members.length !== old.members.length || !members.every(isCurrentMember);
   }
 
   private async runPhase(
@@ -134,8 +135,8 @@
     const ordered = [ids.filter((id) => id !== self), ids.filter((id) => id === self)];
     const installed = new Set<string>();
     do {
-      for (const group of ordered) {
-        const missing = group.filter((id) => !installed.has(id));
+      for (const batch of ordered) {
+        const missing = batch.filter((id) => !installed.has(id));
         await this.askEach(missing, request, (reply, nodeId) => {
           if (reply.type === 'done') installed.add(nodeId);
           return false;
--- a/src/claims/group-manager.ts
+++ b/src/claims/group-manager.ts
@@ -39,7 +39,7 @@
 /** Time for which the list of machines is reused, in milliseconds. */
 const MACHINE_LIST_MAX_AGE_MS = 2_000;
 
-/** Number of zones with a node at which the first placement need not wait any longer. */
+/** The first placement waits no longer once nodes of this many zones are known. */
 const BOOTSTRAP_ZONES = 3;
 
 /** Manages the replica groups at one node. */
@@ -71,7 +71,7 @@
     for (const manager of this.placementManagers.values()) manager.stop();
   }
 
-  /** Planned stop: moves this node's places in all groups to others, within the drain time. */
+  /** Planned stop: moves this node's places in all groups to other nodes, within the drain time. */
   async transferPlaces(): Promise<void> {
     this.leaving = true;
     this.options.directory.withdraw();
--- a/src/claims/placement-manager.ts
+++ b/src/claims/placement-manager.ts
@@ -77,7 +77,7 @@
     this.stopped = true;
   }
 
-  /** Planned stop: moves this node's place in the group to others, within the drain time. */
+  /** Planned stop: moves this node's place in the group to another node, within the drain time. */
   async transferPlace(): Promise<void> {
     const { clock, timing, replica } = this.options;
     this.leaving = true;
@@ -185,7 +185,8 @@
 
   /**
    * Changes the epoch when the members should change. The first responding member proposes the
-   * change; each other one waits `takeOverMs` longer, in case those before it do not.
+   * change. Each further one waits `takeOverMs` longer than the one before it, in case that one
+   * does not complete it.
    */
   private async changeMembersIfNeeded(now: number): Promise<void> {
     const { replica, timing } = this.options;
--- a/src/claims/placement-store.ts
+++ b/src/claims/placement-store.ts
@@ -47,7 +47,7 @@
   return { records, ...(groups === undefined ? {} : { groups }) };
 }
 
-/** Writes the number of groups unless one is stored already; the stored number counts. */
+/** Writes the number of groups, unless one is stored already; that one stays in force. */
 export async function createLayout(platform: PlatformClient, groups: number): Promise<void> {
   const value = JSON.stringify({ groups });
   await platform.transact([{ key: LAYOUT_KEY, modRevision: 0 }], [{ key: LAYOUT_KEY, value }]);
--- a/src/claims/replica-server.ts
+++ b/src/claims/replica-server.ts
@@ -67,7 +67,10 @@
     return { reply: { ...reply, memory }, rest };
   }
 
-  /** Tables are copies whose entries never change, so all pages show the same state. */
+  /**
+   * Keeps the pages of a table. Tables are copies whose entries never change, so all pages show the
+   * same state.
+   */
   private storePages(pages: readonly TableSnapshot[]): string {
     this.transfers += 1;
     const { nodeId, incarnation } = this.local.view.self;
--- a/src/claims/table-pages.ts
+++ b/src/claims/table-pages.ts
@@ -27,7 +27,7 @@
   return ENTRY_OVERHEAD_BYTES + sizeOfTexts([entry.key, ...entry.slots]);
 }
 
-/** Splits entries into runs of at most `maxBytes`, but at least one entry. */
+/** Splits entries into runs of at most `maxBytes`, each with at least one entry. */
 function splitEntries<T>(
   entries: readonly T[],
   sizeOf: (entry: T) => number,
