--- a/src/peer/incoming-link.ts
+++ b/src/peer/incoming-link.ts
@@ -119,7 +119,7 @@
 
   private onCall({ id, name, body }: Envelope): boolean {
     if (id <= this.lastId || name === undefined) return false;
-    // The peer sent this before it read the goaway, by which it knows that the call is not handled.
+    // The peer sent this before it read the goaway, which shows it that the call is not handled.
     if (this.retiring) return true;
     this.lastId = id;
     if (this.running.size >= this.options.limits.maxInFlight) {
