--- a/src/membership/member-sync.ts
+++ b/src/membership/member-sync.ts
@@ -5,9 +5,9 @@
 import { validateFetchReply, validateSyncReply } from './membership-calls.js';
 
 const SYNC_TIMEOUT_MS = 3_000;
-/** Concurrent exchanges and fetches; further ones are skipped, a later one makes up for them. */
+/** Maximum number of exchanges and fetches at once; later ones make up for those skipped. */
 const MAX_CONCURRENT_EXCHANGES = 2;
-/** Most pages of one exchange, in case a peer never sends a last page. */
+/** Maximum number of pages of one exchange, in case a peer never sends a last page. */
 const MAX_PAGES = 200;
 
 /** The membership state that exchanges read and update. */
--- a/src/membership/membership-plugin.ts
+++ b/src/membership/membership-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in: membership of the fleet. */
+/** Membership plug-in: binds `Token.Membership`, the members of the fleet. */
 import type { Settings } from '../config/settings.js';
 import { combineHashes, hash32 } from '../core/hash.js';
 import type { MemberFacts } from '../core/member.js';
