--- a/src/core/membership/membership-faults.test.ts
+++ b/src/core/membership/membership-faults.test.ts
@@ -52,7 +52,7 @@
     assertFailsEverywhere(fleet, 'node-2', 10 * SECOND_MS);
     assertConverges(fleet, SECOND_MS, 'the rest');
   },
-  'a short pause is suspected at most, and refuted': (fleet) => {
+  'a node that pauses briefly is suspected at most, and refutes it': (fleet) => {
     fleet.pause('node-2');
     fleet.run(2.5 * SECOND_MS);
     fleet.resume('node-2');
@@ -161,7 +161,7 @@
     assert.ok(fleet.runUntil(isKnown, 10 * SECOND_MS) <= 10 * SECOND_MS);
     assertConverges(fleet, SECOND_MS, 'after the restart');
   },
-  'a machine under a new name takes over its address at once': (fleet) => {
+  'a replacement under a new name takes over the address at once': (fleet) => {
     fleet.kill('node-2');
     fleet.addNode({ id: 'new-2', address: '10.0.0.2:7000', incarnation: LATER_START });
     assertConverges(fleet, 3 * SECOND_MS, 'after the replacement');
@@ -170,7 +170,7 @@
         fleet.node('new-2').protocol.find('node-2') === undefined,
     );
   },
-  'a machine under a new name whose clock is behind takes over once the old one has failed': (
+  'a replacement whose clock is behind takes over the address once the old node has failed': (
     fleet,
   ) => {
     fleet.kill('node-2');
@@ -268,7 +268,7 @@
 ] as const) {
   const cases = size < 10 ? CASES : { ...CASES, ...LARGE_FLEET_CASES };
   for (const [name, run] of Object.entries(cases)) {
-    // Hours of virtual time; a small fleet shows the same.
+    // This case takes hours of virtual time; a small fleet shows the same.
     if (size === 60 && name.startsWith('stale gossip')) continue;
     test(`${size} nodes: ${name}`, () => {
       run(createFleet(size, seed), size);
--- a/src/core/quarantine/suspect-table.test.ts
+++ b/src/core/quarantine/suspect-table.test.ts
@@ -133,7 +133,7 @@
   );
 });
 
-/** A table in which targets crashed under one content, each called by another service. */
+/** A table with one crash per given caller, all under the same content. */
 function tableOfCallers(...callers: readonly string[]): SuspectTable {
   const table = new SuspectTable();
   callers.forEach((caller, index) =>
--- a/src/core/queue/criticality-queue.test.ts
+++ b/src/core/queue/criticality-queue.test.ts
@@ -115,7 +115,7 @@
   assert.equal(slots(at + 5_000, 'normal'), 0);
 });
 
-test('the length is right after every way into and out of the queue', () => {
+test('the length is right after each way to add or remove requests', () => {
   const queue = createQueue();
   assert.equal(queue.length, 5);
   queue.takeNext(0);
--- a/src/core/quota/quota-counter.test.ts
+++ b/src/core/quota/quota-counter.test.ts
@@ -24,7 +24,7 @@
   assert.equal(counter.grant(60_000, request(5), { ...LIMIT, burst: 0 }).granted, 1);
 });
 
-test('tenants have buckets of their own', () => {
+test('each tenant has its own bucket', () => {
   const counter = new QuotaCounter(0);
   counter.grant(2_000, request(50), LIMIT);
   assert.equal(counter.grant(2_000, { ...request(50), tenant: 'u' }, LIMIT).granted, 20);
--- a/src/core/routing/target-subset.test.ts
+++ b/src/core/routing/target-subset.test.ts
@@ -63,7 +63,7 @@
   }
 });
 
-test('every target is in about as many subsets, by its capacity', () => {
+test('targets of equal capacity are in about equally many subsets, larger ones in more', () => {
   const targets = createTargets(TARGETS).map((target, index) =>
     index < 6 ? { ...target, capacity: 40 } : target,
   );
