--- a/src/core/routing/target-subset.test.ts
+++ b/src/core/routing/target-subset.test.ts
@@ -46,7 +46,7 @@
 
 const callers = Array.from({ length: CALLERS }, (_, index) => `caller-${index}`);
 
-test('a small service is used whole', () => {
+test('a caller uses all targets of a small service', () => {
   const targets = createTargets(24);
   assert.deepEqual(
     subsetOf('caller-1', targets),
@@ -63,7 +63,7 @@
   }
 });
 
-test('every target is in about as many subsets, by its capacity', () => {
+test('targets of equal capacity are in about equally many subsets, larger ones in more', () => {
   const targets = createTargets(TARGETS).map((target, index) =>
     index < 6 ? { ...target, capacity: 40 } : target,
   );
