--- a/src/entry/routed-call.ts
+++ b/src/entry/routed-call.ts
@@ -160,7 +160,7 @@
     });
   }
 
-  /** Reports the last failure, which says more than the refusal, with the later retry time. */
+  /** Reports the last failure, which says more than the refusal, with the longer retry time. */
   private giveUp(failure: Failure, refusal: Refusal): CallResult {
     const retryAfterMs = Math.max(failure.retryAfterMs ?? 0, refusal.retryAfterMs);
     const detail = `${failure.detail}; no further attempt: ${refusal.detail}`;
