--- a/src/target/local-target-dispatcher.test.ts
+++ b/src/target/local-target-dispatcher.test.ts
@@ -13,7 +13,7 @@
 import { PLAIN_POLICY } from '../../test/support/plain-policy.js';
 import { LocalTargetDispatcher } from './local-target-dispatcher.js';
 
-interface Bench {
+interface Harness {
   readonly dispatcher: LocalTargetDispatcher;
   readonly clock: ManualClock;
   readonly metrics: Metrics;
@@ -21,7 +21,7 @@
   changeSlots(slots: number): void;
 }
 
-function createBench(): Bench {
+function createHarness(): Harness {
   const config = new InMemoryConfigStore();
   let version = 0;
   const changeSlots = (slots: number): void => {
@@ -63,7 +63,7 @@
 }
 
 test('the gauges of a target are removed when it is fronted elsewhere', async () => {
-  const { dispatcher, clock, metrics } = createBench();
+  const { dispatcher, clock, metrics } = createHarness();
   dispatcher.setPlaced(['guide-1', 'guide-2']);
   for (const target of ['guide-1', 'guide-2']) dispatcher.noteHealth(target, 'serving');
   assert.deepEqual(await measuredTargets(metrics), ['guide-1', 'guide-2']);
@@ -77,7 +77,7 @@
 });
 
 test('the gauges of a target stay when a new task replaces the old one', async () => {
-  const { dispatcher, metrics, changeSlots } = createBench();
+  const { dispatcher, metrics, changeSlots } = createHarness();
   dispatcher.setPlaced(['guide-1']);
   dispatcher.noteHealth('guide-1', 'serving');
   changeSlots(20);
--- a/src/target/local-target-dispatcher.ts
+++ b/src/target/local-target-dispatcher.ts
@@ -1,4 +1,7 @@
-/** The targets that this node fronts, with one task each until they are placed elsewhere. */
+/**
+ * The targets that this node fronts. Each has one task, created when needed and retired after the
+ * target is placed elsewhere.
+ */
 import type { AttemptResult, TargetAttempt } from '../core/attempt.js';
 import { AttemptLedger } from '../core/attempt-ledger.js';
 import type { ByteBudget } from '../core/byte-budget.js';
--- a/src/target/target-task.test.ts
+++ b/src/target/target-task.test.ts
@@ -58,7 +58,7 @@
   noteWastedRun(): void {}
 }
 
-interface Bench {
+interface Harness {
   readonly task: TargetTask;
   readonly gate: TestGate;
   readonly clock: ManualClock;
@@ -67,11 +67,11 @@
   offer(change?: Partial<TargetAttempt>, signal?: AbortSignal): Promise<AttemptResult>;
 }
 
-function createBench(bufferBytes = 1_000_000, log: EventLog = silentEventLog): Bench {
+function createHarness(bufferBytes = 1_000_000, log: EventLog = silentEventLog): Harness {
   const clock = new ManualClock();
   const gate = new TestGate();
   const ledger = new AttemptLedger();
-  const calls: Bench['calls'] = [];
+  const calls: Harness['calls'] = [];
   const task = new TargetTask({
     target: 'guide-1',
     nodeId: 'node-a',
@@ -90,7 +90,7 @@
     onLeavingChanged: () => undefined,
     onRetired: () => undefined,
   });
-  const offer: Bench['offer'] = (change, signal = new AbortController().signal) =>
+  const offer: Harness['offer'] = (change, signal = new AbortController().signal) =>
     new Promise((resolve) => {
       const attempt = { ...createAttempt(clock.now()), ...change };
       task.post({ type: 'offer', attempt, maxAnswerBytes: 100, signal, resolve });
@@ -124,21 +124,21 @@
 };
 
 test('calls below a running attempt can use its attempts, and the use is reported', async () => {
-  const bench = createBench();
-  const result = bench.offer();
-  assert.equal(bench.ledger.reserve('a.1.1', 9), 2);
-  bench.ledger.release('a.1.1', 1);
-  bench.calls[0]?.end(ANSWER);
+  const harness = createHarness();
+  const result = harness.offer();
+  assert.equal(harness.ledger.reserve('a.1.1', 9), 2);
+  harness.ledger.release('a.1.1', 1);
+  harness.calls[0]?.end(ANSWER);
   assert.equal((await result).attemptsUsed, 2);
-  assert.equal(bench.ledger.reserve('a.1.1', 1), 0);
-  assert.deepEqual(bench.gate.completed, ['success']);
+  assert.equal(harness.ledger.reserve('a.1.1', 1), 0);
+  assert.deepEqual(harness.gate.completed, ['success']);
 });
 
 test("the gate's timer refuses waiting attempts as not run", async () => {
-  const bench = createBench();
-  bench.gate.dispatchAtOnce = false;
-  const result = bench.offer();
-  bench.clock.advance(100);
+  const harness = createHarness();
+  harness.gate.dispatchAtOnce = false;
+  const result = harness.offer();
+  harness.clock.advance(100);
   const ended = await result;
   assert.ok(ended.type === 'failure');
   assert.deepEqual([ended.outcome, ended.attemptsUsed], ['overloaded', 0]);
@@ -146,36 +146,36 @@
 });
 
 test('an attempt whose caller goes away while it waits is withdrawn, not run', async () => {
-  const bench = createBench();
-  bench.gate.dispatchAtOnce = false;
+  const harness = createHarness();
+  harness.gate.dispatchAtOnce = false;
   const abort = new AbortController();
-  const result = bench.offer({}, abort.signal);
+  const result = harness.offer({}, abort.signal);
   abort.abort();
   const ended = await result;
   assert.ok(ended.type === 'failure' && ended.failure.execution === 'not-run');
-  assert.equal(bench.gate.waiting.size, 0);
-  assert.equal(bench.task.inProgress, 0);
+  assert.equal(harness.gate.waiting.size, 0);
+  assert.equal(harness.task.inProgress, 0);
 });
 
 test('when the target starts to leave, waiting attempts are refused and running ones go on', async () => {
-  const bench = createBench();
-  const running = bench.offer();
-  bench.gate.dispatchAtOnce = false;
-  const waiting = bench.offer({ attemptId: 'a.1.2' });
-  bench.task.post({ type: 'operator-drain', drained: true });
+  const harness = createHarness();
+  const running = harness.offer();
+  harness.gate.dispatchAtOnce = false;
+  const waiting = harness.offer({ attemptId: 'a.1.2' });
+  harness.task.post({ type: 'operator-drain', drained: true });
   assert.equal((await waiting).outcome, 'draining');
-  assert.equal((await bench.offer({ attemptId: 'a.1.3' })).outcome, 'draining');
-  bench.calls[0]?.end(ANSWER);
+  assert.equal((await harness.offer({ attemptId: 'a.1.3' })).outcome, 'draining');
+  harness.calls[0]?.end(ANSWER);
   assert.equal((await running).type, 'answer');
 });
 
 test('no buffer for the answer: refused before dispatch', async () => {
-  const bench = createBench(1);
-  const ended = await bench.offer();
+  const harness = createHarness(1);
+  const ended = await harness.offer();
   assert.ok(ended.type === 'failure');
   assert.deepEqual([ended.failure.code, ended.failure.execution], [2010, 'not-run']);
-  assert.equal(bench.calls.length, 0);
-  assert.equal(bench.ledger.size, 0);
+  assert.equal(harness.calls.length, 0);
+  assert.equal(harness.ledger.size, 0);
 });
 
 test('the first byte may be sent only before the deadline and the time limit of the claim', () => {
@@ -186,26 +186,26 @@
     { notAfter: 200, at: 201, allowed: false },
   ];
   for (const { notAfter, at, allowed } of cases) {
-    const bench = createBench();
-    void bench.offer(notAfter === undefined ? {} : { notAfter });
-    bench.clock.advance(at);
-    assert.equal(bench.calls[0]?.limits.mayStart(), allowed, `${at}`);
+    const harness = createHarness();
+    void harness.offer(notAfter === undefined ? {} : { notAfter });
+    harness.clock.advance(at);
+    assert.equal(harness.calls[0]?.limits.mayStart(), allowed, `${at}`);
   }
 });
 
 test('a retired task ends after its running attempts and takes no more messages', async () => {
-  const bench = createBench();
-  const running = bench.offer();
-  bench.task.post({ type: 'retire' });
-  bench.calls[0]?.end(ANSWER);
+  const harness = createHarness();
+  const running = harness.offer();
+  harness.task.post({ type: 'retire' });
+  harness.calls[0]?.end(ANSWER);
   assert.equal((await running).type, 'answer');
-  assert.equal(bench.task.post({ type: 'timer' }), false);
+  assert.equal(harness.task.post({ type: 'timer' }), false);
 });
 
 test('a refusal by the gate is logged with the load that it saw', async () => {
   const lines: (readonly [Event, EventFields])[] = [];
   const log: EventLog = { emit: (event, fields = {}) => lines.push([event, fields]) };
-  const { gate, clock, offer } = createBench(undefined, log);
+  const { gate, clock, offer } = createHarness(undefined, log);
   gate.dispatchAtOnce = false;
   const result = offer();
   clock.advance(100);
