--- a/src/store/store-backoff.test.ts
+++ b/src/store/store-backoff.test.ts
@@ -58,7 +58,8 @@
     ),
   );
   await advance(clock, OUTAGE_MS);
-  // Two first calls, pauses of 50 to 800 ms, then one call a second. Separate back-offs up to 500 ms: 40 calls.
+  // Two first calls, pauses of 50 to 800 ms, then one call a second. Two separate back-offs with pauses of
+  // up to 500 ms would make 40 calls.
   assert.ok(callsMade <= 16, `${callsMade} calls`);
   assert.ok(callsMade >= 12, `${callsMade} calls`);
   up = true;
@@ -83,7 +84,7 @@
   await caller;
 });
 
-test('the first failure after an outage has passed starts with a short pause', async () => {
+test('a failure some time after an outage starts with a short pause again', async () => {
   const clock = new ManualClock();
   const backoff = new StoreBackoff(clock, NO_JITTER);
   backoff.noteFailed();
