--- a/src/config/config-distribution.test.ts
+++ b/src/config/config-distribution.test.ts
@@ -249,7 +249,7 @@
   { maxLength: 12 },
 );
 
-/** Failed once: a starting node's slow read was older than the rules of its zone by then. */
+/** Failed in a longer run: a starting node's slow read was older than what its zone had by then. */
 const SLOW_READ_AT_START: Step[] = [
   { type: 'outage', isDown: true },
   { type: 'replace', node: 0 },
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -26,7 +26,7 @@
   listen: z.strictObject({
     /** Callers' HTTP entry, also used by back ends for the next call of a chain. */
     entry: address,
-    /** Operators' interface, metrics and health. */
+    /** Admin API, metrics and health. */
     admin: address,
     /** Node-to-node links: the same port for TCP (calls) and UDP (membership). */
     peer: address,
