--- a/src/etcd/machine-list-poller.test.ts
+++ b/src/etcd/machine-list-poller.test.ts
@@ -11,7 +11,7 @@
   return { id, role: 'target', state: 'live', address: `${id}:1`, zone: 'zone-a', ...changes };
 }
 
-test('nodes become seeds; leaving targets are published, kept in an outage, withdrawn', async () => {
+test('nodes become seeds; leaving targets are published, kept in an outage, then withdrawn', async () => {
   const fleet = new SimulatedConfigFleet();
   const node = fleet.startNode('zone-a');
   const leavingTargets = new LeavingTargets(node);
