--- a/src/kernel/boot-time.ts
+++ b/src/kernel/boot-time.ts
@@ -2,8 +2,8 @@
  * Monotonic time that includes suspensions of the machine, like CLOCK_BOOTTIME, which Node.js does
  * not provide. During a suspension the monotonic clock stops and the wall clock does not, so a gain
  * of the wall clock is taken for a suspension. A forward jump of the wall clock makes elapsed times
- * look longer, never shorter. A backward jump is ignored; it hides a suspension only when both come
- * together.
+ * look longer, never shorter. A backward jump is ignored; it hides a suspension only when both happen
+ * between the same two readings.
  */
 
 /** Smaller differences are no suspension: the two clocks are not read at the same instant. */
--- a/src/kernel/kernel.test.ts
+++ b/src/kernel/kernel.test.ts
@@ -78,7 +78,7 @@
   assert.ok(kernel.container.get(Token.Clock) instanceof ManualClock);
 });
 
-test('a failed start stops the plug-ins so far, in reverse order, and rejects', async () => {
+test('a failed start stops the plug-ins started so far, in reverse order, and rejects', async () => {
   const recorder = new Recorder(['start b']);
   const kernel = recorder.kernel();
   await assert.rejects(kernel.start(), /start b/);
