--- a/src/cli/operator-commands.test.ts
+++ b/src/cli/operator-commands.test.ts
@@ -86,7 +86,7 @@
   assert.equal(admin.repository.revisions.length, 1);
 });
 
-test('apply gives up when the outcome stays unknown and says how to repeat it', async () => {
+test('apply gives up when the outcome stays unknown and prints how to repeat the change', async () => {
   const failure = createFailure(ResultCode.WriteOutcomeUnknown, 'lost', { retryAfterMs: 1 });
   for (let call = 0; call < 4; call += 1)
     admin.repository.failures.push({ failure, applied: false });
