--- a/src/logs/losses.test.ts
+++ b/src/logs/losses.test.ts
@@ -27,7 +27,7 @@
   );
 });
 
-test('calls of targets are distinguished from callers, and the overloaded service is named', () => {
+test('calls of targets are distinguished from requests of callers, and the overloaded service is named', () => {
   const fields = {
     kind: 'call',
     code: ResultCode.AdmissionRefused,
