--- a/src/observability/observability-plugin.ts
+++ b/src/observability/observability-plugin.ts
@@ -1,4 +1,4 @@
-/** Plug-in: the node's metrics, which the administration server publishes, and event loop delay. */
+/** Plug-in: the node's metrics, which the admin server publishes, and event loop delay. */
 import { EventLoopDelay } from '../kernel/event-loop-delay.js';
 import { createMetrics, publishTraffic } from '../kernel/metrics.js';
 import { registerPlugin, StartOrder } from '../kernel/plugin.js';
