--- a/src/emulator/emulated-call.ts
+++ b/src/emulator/emulated-call.ts
@@ -15,7 +15,7 @@
 import type { AttemptReceiver, IncomingAttempt, SimulationContext } from './simulation-context.js';
 
 /** Maximum number of attempts of one call at one hop, as in `src/entry/routed-call.ts`. */
-const MAX_ATTEMPTS = 16;
+const MAX_ATTEMPTS_PER_HOP = 16;
 
 /** One call to make. */
 export interface CallOptions {
@@ -238,7 +238,7 @@
   /** Whether the data path forbids another attempt, whatever the policy decides. */
   private isRetryRuledOut(end: AttemptEnd): boolean {
     const mayRetry = this.context.idempotent || !end.mayHaveRun;
-    return !mayRetry || this.budget.remaining < 1 || this.tried.length >= MAX_ATTEMPTS;
+    return !mayRetry || this.budget.remaining < 1 || this.tried.length >= MAX_ATTEMPTS_PER_HOP;
   }
 
   private giveUp(end: AttemptEnd, retryAfterMs: number | undefined): void {
