--- a/src/trials/admin-client.ts
+++ b/src/trials/admin-client.ts
@@ -1,4 +1,4 @@
-/** Client of the operators' interface in plain JSON, without the generated client. */
+/** Client of the admin API in plain JSON, without the generated client. */
 import type { Settings } from '../config/settings.js';
 import { requestJson } from './http-json.js';
 
@@ -14,7 +14,7 @@
   readonly nodes?: readonly { readonly node: string; readonly inForce?: boolean }[];
 }
 
-/** Client of one node's operators' interface. */
+/** Client of one node's admin API. */
 export class AdminClient {
   private readonly base: string;
   private readonly headers: Readonly<Record<string, string>>;
--- a/src/trials/deployment.ts
+++ b/src/trials/deployment.ts
@@ -18,7 +18,7 @@
 import { FatalError, poll, requestJson } from './http-json.js';
 import { ManagedProcess, type ProcessEnd } from './managed-process.js';
 
-/** Printed at most per process after a failure; a node restart logs about 4,000 characters. */
+/** Most characters printed of each process's log after a failure; a node restart logs about 4,000. */
 const MAX_LOG_CHARACTERS = 100_000;
 const START_TIMEOUT_MS = 20_000;
 /** A node whose planned stop takes longer is killed. */
@@ -102,7 +102,7 @@
     return this.nodes.filter((node) => node.process.running).map((node) => node.entry);
   }
 
-  /** Applies the plan's rules through the operators' interface of the first node. */
+  /** Applies the plan's rules through the admin API of the first node. */
   async applyRules(): Promise<void> {
     const { tenant } = this.plan.rules;
     const document = readFileSync(this.plan.rulesFile, 'utf8');
--- a/src/trials/http-json.ts
+++ b/src/trials/http-json.ts
@@ -1,4 +1,4 @@
-/** JSON requests to control endpoints and to the operators' interface. */
+/** JSON requests to control endpoints and to the admin API. */
 
 /** Sends `body` as JSON by POST, or a GET without a body. Rejects on any status but 200. */
 export async function requestJson<T>(
