--- a/src/stand-ins/backend/commands.ts
+++ b/src/stand-ins/backend/commands.ts
@@ -148,5 +148,4 @@
   return Result.ok(calls);
 }
 
-/** Commands of this module. */
 export const commands = [EmulateBackendCommand];
--- a/src/stand-ins/callers/commands.ts
+++ b/src/stand-ins/callers/commands.ts
@@ -91,5 +91,4 @@
   }
 }
 
-/** Commands of this module. */
 export const commands = [EmulateCallersCommand];
--- a/src/stand-ins/callers/summary.ts
+++ b/src/stand-ins/callers/summary.ts
@@ -28,7 +28,10 @@
   readonly cut: number;
   /** Latency of the complete requests. */
   readonly latency: Quantiles;
-  /** Attempts that were not complete, by result code, failed downstream call, status or end. */
+  /**
+   * Number of incomplete attempts by the first of these that is known: result code, failed downstream
+   * call, status, how the exchange ended.
+   */
   readonly codes: Readonly<Record<string, number>>;
 }
 
--- a/src/stand-ins/link/commands.ts
+++ b/src/stand-ins/link/commands.ts
@@ -52,5 +52,4 @@
   }
 }
 
-/** Commands of this module. */
 export const commands = [EmulateLinkCommand];
--- a/src/stand-ins/platform/commands.ts
+++ b/src/stand-ins/platform/commands.ts
@@ -46,5 +46,4 @@
   }
 }
 
-/** Commands of this module. */
 export const commands = [EmulatePlatformCommand];
