--- a/test/sidecar-crashing-requests.test.ts
+++ b/test/sidecar-crashing-requests.test.ts
@@ -6,8 +6,8 @@
  * Cause: a crash counted as any other failure of an attempt, and was neither recorded between attempts
  * nor sent to other nodes. One attempt reached two targets, the second 4 ms after the first had crashed;
  * later attempts at other nodes reached one each. Load was not the cause: targets crashed with 4 to 47
- * requests running, had room for 87, and served the same load without the request. It entered at nodes
- * of several services: with a separate count for each of them, nine targets crashed.
+ * requests running, had room for 87, and served the same load without the request. The request
+ * entered at nodes of several services: with a separate count for each of them, nine targets crashed.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/sidecar-tenants.test.ts
+++ b/test/sidecar-tenants.test.ts
@@ -161,8 +161,8 @@
   );
   await waitUntil(() => waiting.length >= OPTIONS.slots);
   mesh.putRules(2, ROUTES, [{ name: 'south', keys: ['south-1'] }]);
-  const gone = { path: '/read/1', apiKey: 'north-1' };
-  await mesh.sendUntil(ledger, gone, ({ status }) => status === 401);
+  const requestWithRemovedKey = { path: '/read/1', apiKey: 'north-1' };
+  await mesh.sendUntil(ledger, requestWithRemovedKey, ({ status }) => status === 401);
   const sent = waiting.length;
   const settled = Promise.all(answers);
   const finish = setInterval(() => waiting.splice(0).forEach((answer) => answer()), 10);
--- a/test/support/fault-case.ts
+++ b/test/support/fault-case.ts
@@ -1,6 +1,6 @@
 /**
  * One case of the fault table: load, scripted faults, recovery and a check of the journals.
- * Random schedules are in fault-run.ts.
+ * Random schedules are in src/trials/fault-run.ts.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Deployment } from '../../src/trials/deployment.js';
--- a/test/support/in-memory-platform.ts
+++ b/test/support/in-memory-platform.ts
@@ -67,13 +67,13 @@
     puts: readonly Put[],
   ): Promise<Result<TransactionResult, Failure>> {
     await this.plan.step?.();
-    const fate = this.down ? 'refused' : (this.plan.nextWrite?.() ?? 'ok');
-    if (fate === 'refused') return unavailable();
-    if (fate === 'late') this.late.push(() => this.write(compares, puts));
-    if (fate === 'late' || fate === 'lost-before') return unknown();
+    const outcome = this.down ? 'refused' : (this.plan.nextWrite?.() ?? 'ok');
+    if (outcome === 'refused') return unavailable();
+    if (outcome === 'late') this.late.push(() => this.write(compares, puts));
+    if (outcome === 'late' || outcome === 'lost-before') return unknown();
     const result = this.write(compares, puts);
     await this.plan.step?.();
-    return fate === 'lost-after' ? unknown() : Result.ok(result);
+    return outcome === 'lost-after' ? unknown() : Result.ok(result);
   }
 
   watch(prefix: string, from: number, listener: (event: WatchEvent) => void): () => void {
--- a/test/support/raw-caller.ts
+++ b/test/support/raw-caller.ts
@@ -40,7 +40,7 @@
   readonly onEnd: (record: CallerRecord) => void;
 }
 
-/** Time for which requests sent after the remote end are still taken as crossing it on the wire. */
+/** Requests sent this soon after the other side ended the connection count as crossing that end. */
 const CROSSING_GRACE_MS = 100;
 const HEAD_END = Buffer.from('\r\n\r\n');
 const NO_BODY_STATUSES: ReadonlySet<number> = new Set([204, 304]);
