--- a/src/entry/attempt-source.ts
+++ b/src/entry/attempt-source.ts
@@ -9,7 +9,7 @@
 /** Longest wait for a charge of the shared budget, in milliseconds. */
 const CHARGE_WAIT_MS = 250;
 
-/** Grants each attempt of one call the attempts that it and the calls below it may use. */
+/** Grants, for each attempt of one call, the attempts that it and the calls below it may use. */
 export class AttemptSource {
   private readonly budget: AttemptBudget;
   /** Attempts charged to the shared budget and not granted. */
@@ -35,7 +35,7 @@
     return this.budget.remaining;
   }
 
-  /** Grants at least one attempt to the next attempt, or fails with the reason. */
+  /** Returns how many attempts the next one and the calls below it may use, at least 1, or fails. */
   async grant(now: number): Promise<Result<number, Failure>> {
     const wanted = this.budget.grant();
     if (wanted < 1) return Result.err(exhausted());
