--- a/src/http/caller-connection.ts
+++ b/src/http/caller-connection.ts
@@ -99,7 +99,7 @@
     this.endWhenFinished();
   }
 
-  /** Makes all unanswered requests answer now. */
+  /** Requires that all unanswered requests are answered now. */
   giveUp(): void {
     for (const { request, answered } of [...this.slots]) if (!answered) request?.giveUp();
   }
