--- a/src/config/config-distribution.ts
+++ b/src/config/config-distribution.ts
@@ -90,8 +90,8 @@
 
   /**
    * Waits, at a planned stop, until another node has this node's version, so that a change
-   * accepted in an outage of the platform is not lost with this node. The other node
-   * must be of the own zone if that has any.
+   * accepted in an outage of the platform is not lost with this node. Only nodes of the same
+   * zone count if there are any.
    *
    * @param limitMs longest wait
    */
