--- a/test/soak/checks.ts
+++ b/test/soak/checks.ts
@@ -13,7 +13,7 @@
   /** Time without disruptions after which a machine's timed guarantees hold again. */
   readonly settlingMs: number;
   readonly gracePeriodMs: number;
-  /** A connection that closes later than this after a request's last byte shows that the node had read it. */
+  /** When a connection closes later than this after a request was sent, its node must have read the request. */
   readonly lossSlackMs: number;
   /** Time within which a change of the rules is in force. */
   readonly applyMs: number;
--- a/test/soak/soak-faults.ts
+++ b/test/soak/soak-faults.ts
@@ -8,7 +8,7 @@
 import type { Action } from './schedule.js';
 
 const MOVING_SERVICES = ['ledger', 'archive'] as const;
-/** Time within which a restarted node has to be ready, in milliseconds. */
+/** Longest wait for a restarted node to be ready, in milliseconds; its disruption lasts until then. */
 const READY_WITHIN_MS = 15_000;
 const READY_CHECK_MS = 100;
 /** Pause before a process that exited by itself is restarted, in milliseconds. */
--- a/test/support/claim-fleet.ts
+++ b/test/support/claim-fleet.ts
@@ -103,7 +103,7 @@
     await callReplica(nodeId, { type: 'install', record, table: reply.memory.table });
   }
 
-  /** Delays every message between two nodes. */
+  /** Delays every message between any two nodes. */
   delayAll(delayMs: number): void {
     for (const from of this.zones.keys()) {
       for (const to of this.zones.keys()) this.hub.setDelay(from, to, delayMs);
@@ -140,7 +140,7 @@
     return { tenant: 't', service: 's', key, fingerprint, attemptId, deadline };
   }
 
-  /** A key issued `ageMs` ago. */
+  /** Creates an idempotency key issued `ageMs` ago. */
   createKey(ageMs = 0, serial = 0): string {
     const time = (this.clock.wallNow() - ageMs).toString(16).padStart(12, '0');
     const tail = serial.toString(16).padStart(12, '0');
