--- a/src/claims/epoch-changer.ts
+++ b/src/claims/epoch-changer.ts
@@ -57,7 +57,7 @@
     const responsive: Incarnation[] = [];
     const unresponsive: Incarnation[] = [];
     const requests = chosen.map(async (nodeId) => {
-      const reply = await client.ask(nodeId, { type: 'status' }, timing.changeTimeoutMs);
+      const reply = await client.query(nodeId, { type: 'status' }, timing.changeTimeoutMs);
       const currentMember = old?.members.find((member) => member.nodeId === nodeId);
       if (reply?.type !== 'status')
         unresponsive.push(...(currentMember === undefined ? [] : [currentMember]));
@@ -74,7 +74,7 @@
     const record = records.at(-1);
     if (record === undefined) return;
     const ids = records.flatMap((each) => each.members.map((member) => member.nodeId));
-    await this.askEach([...new Set(ids)], { type: 'establish', record });
+    await this.queryEach([...new Set(ids)], { type: 'establish', record });
   }
 
   private async propose(
@@ -114,7 +114,7 @@
     wanted: EpochChangeStep,
   ): Promise<boolean> {
     const ids = change.old.members.map((member) => member.nodeId);
-    await this.askEach(ids, request, (reply) => {
+    await this.queryEach(ids, request, (reply) => {
       change.onReply(reply);
       return change.step === wanted;
     });
@@ -137,7 +137,7 @@
     do {
       for (const batch of ordered) {
         const missing = batch.filter((id) => !installed.has(id));
-        await this.askEach(missing, request, (reply, nodeId) => {
+        await this.queryEach(missing, request, (reply, nodeId) => {
           if (reply.type === 'done') installed.add(nodeId);
           return false;
         });
@@ -156,12 +156,12 @@
     const { self, record, status } = replica.view;
     if (record === undefined || (status !== 'voting' && status !== 'sealed')) return;
     const read = { type: 'recover', epoch: record.epoch, ...self } as const;
-    const ownReply = await client.ask(self.nodeId, read, timing.changeTimeoutMs);
+    const ownReply = await client.query(self.nodeId, read, timing.changeTimeoutMs);
     if (ownReply?.type !== 'recovered') return;
     const request = { type: 'install', record, table: ownReply.memory.table } as const;
     let installed = 0;
     const ids = record.members.map((member) => member.nodeId);
-    await this.askEach(ids, request, (reply) => {
+    await this.queryEach(ids, request, (reply) => {
       if (reply.type === 'done') installed += 1;
       return false;
     });
@@ -169,7 +169,7 @@
   }
 
   /** Queries all nodes at once; resolves on `isEnough`, or when all have replied or timed out. */
-  private askEach(
+  private queryEach(
     nodeIds: readonly string[],
     request: ReplicaRequest,
     isEnough: (reply: ReplicaReply, nodeId: string) => boolean = () => false,
@@ -177,7 +177,7 @@
     const { client, timing } = this.options;
     return new Promise((resolve) => {
       const requests = nodeIds.map(async (nodeId) => {
-        const reply = await client.ask(nodeId, request, timing.changeTimeoutMs);
+        const reply = await client.query(nodeId, request, timing.changeTimeoutMs);
         if (reply !== undefined && isEnough(reply, nodeId)) resolve();
       });
       void Promise.all(requests).then(() => {
--- a/src/claims/group-access.ts
+++ b/src/claims/group-access.ts
@@ -4,7 +4,7 @@
 
 /** Access to the replicas and the placement of one group. */
 export interface GroupAccess {
-  readonly client: Pick<ReplicaClient, 'ask' | 'askAll'>;
+  readonly client: Pick<ReplicaClient, 'query' | 'queryAll'>;
   /** Newest established placement record. */
   readonly placement: PlacementRecord | undefined;
   /** Records a newer placement record that a replica reported. */
--- a/src/claims/group-restarter.ts
+++ b/src/claims/group-restarter.ts
@@ -115,6 +115,6 @@
 
   private requestStatus(nodeId: string): Promise<ReplicaReply | undefined> {
     const { client, timing } = this.options;
-    return client.ask(nodeId, { type: 'status' }, timing.changeTimeoutMs);
+    return client.query(nodeId, { type: 'status' }, timing.changeTimeoutMs);
   }
 }
--- a/src/claims/placement-manager.ts
+++ b/src/claims/placement-manager.ts
@@ -152,7 +152,7 @@
     const { replica, client, timing } = this.options;
     const { members, request } = replica.pendingReads();
     const reads = members.map(async (nodeId) => {
-      const reply = await client.ask(nodeId, request, timing.changeTimeoutMs);
+      const reply = await client.query(nodeId, request, timing.changeTimeoutMs);
       if (reply !== undefined) replica.post({ type: 'recovered', reply });
     });
     await Promise.all(reads);
--- a/src/claims/replica-client.ts
+++ b/src/claims/replica-client.ts
@@ -52,7 +52,7 @@
    *
    * @param timeoutMs time limit of each exchange; a large table takes one exchange per page
    */
-  async ask(
+  async query(
     nodeId: string,
     request: ReplicaRequest,
     timeoutMs: number,
@@ -72,14 +72,14 @@
    *
    * @returns resolves when every member has replied or timed out
    */
-  async askAll(
+  async queryAll(
     record: PlacementRecord,
     request: ReplicaRequest,
     timeoutMs: number,
     onReply: (nodeId: string, reply: ReplicaReply | undefined) => void,
   ): Promise<void> {
     const requests = record.members.map(async ({ nodeId }) => {
-      onReply(nodeId, await this.ask(nodeId, request, timeoutMs));
+      onReply(nodeId, await this.query(nodeId, request, timeoutMs));
     });
     await Promise.all(requests);
   }
--- a/src/claims/replica-delivery.test.ts
+++ b/src/claims/replica-delivery.test.ts
@@ -34,8 +34,8 @@
     const currentRecord = (): PlacementRecord => this.record;
     return {
       client: {
-        ask: (nodeId, request) => Promise.resolve(this.answer(nodeId, request)),
-        askAll: () => Promise.resolve(),
+        query: (nodeId, request) => Promise.resolve(this.answer(nodeId, request)),
+        queryAll: () => Promise.resolve(),
       },
       get placement() {
         return currentRecord();
--- a/src/claims/replica-delivery.ts
+++ b/src/claims/replica-delivery.ts
@@ -131,7 +131,7 @@
     const { timing } = this.options;
     const { client } = pending.group;
     const request = { ...pending.message, epoch: pending.epoch };
-    const reply = await client.ask(nodeId, request, timing.roundTimeoutMs);
+    const reply = await client.query(nodeId, request, timing.roundTimeoutMs);
     if (reply?.type === 'done') pending.confirmed.add(nodeId);
     if (reply?.type === 'not-voting' && reply.record !== undefined)
       pending.group.observe(reply.record);
--- a/src/claims/request-round.ts
+++ b/src/claims/request-round.ts
@@ -53,7 +53,7 @@
       round.onReply(nodeId, reply);
       if (isSettled()) close();
     };
-    void client.askAll(round.record, request, timeoutMs, onReply).then(() => {
+    void client.queryAll(round.record, request, timeoutMs, onReply).then(() => {
       if (open) close();
     });
   });
--- a/src/config/rules-startup.ts
+++ b/src/config/rules-startup.ts
@@ -81,17 +81,17 @@
     if (this.finished || read.isErr) return false;
     this.collected.push(...read.value.records);
     // The answer may have been slow: the zone may have newer rules in force by now.
-    await this.askAll(this.readyPeersInZone().slice(0, PEERS_QUERIED_AFTER_READ));
+    await this.queryAll(this.readyPeersInZone().slice(0, PEERS_QUERIED_AFTER_READ));
     return true;
   }
 
   private async loadFromPeers(): Promise<boolean> {
     const { clock } = this.options;
     const inZone = this.readyPeersInZone();
-    if (inZone.length > 0) return this.askAll(inZone);
+    if (inZone.length > 0) return this.queryAll(inZone);
     if (clock.now() - this.startedAt < OTHER_ZONES_AFTER_MS) return false;
     const newestFirst = [...this.readyPeers()].sort((a, b) => b.configVersion - a.configVersion);
-    return this.askAll(newestFirst.slice(0, MAX_OTHER_ZONE_PEERS));
+    return this.queryAll(newestFirst.slice(0, MAX_OTHER_ZONE_PEERS));
   }
 
   private readyPeers(): readonly Member[] {
@@ -106,7 +106,7 @@
   }
 
   /** Queries every peer; true when at least one has replied. */
-  private async askAll(peers: readonly Member[]): Promise<boolean> {
+  private async queryAll(peers: readonly Member[]): Promise<boolean> {
     const { network } = this.options;
     let answered = false;
     for (let start = 0; start < peers.length; start += BATCH_SIZE) {
--- a/src/stand-ins/platform/faults.ts
+++ b/src/stand-ins/platform/faults.ts
@@ -101,7 +101,7 @@
   }
 
   /** Outcome of the answer to a request that has been executed. */
-  nextFate(isWrite: boolean): AnswerOutcome {
+  nextOutcome(isWrite: boolean): AnswerOutcome {
     if (this.take('garbageNextAnswers')) return 'garbage';
     if (!isWrite) return 'send';
     this.writes += 1;
--- a/src/stand-ins/platform/gateway.ts
+++ b/src/stand-ins/platform/gateway.ts
@@ -129,7 +129,7 @@
     try {
       const { answer, isWrite } = run(parsed.data);
       const body = JSON.stringify({ header: toHeader(store.revision), ...answer });
-      sendOutcome(response, body, injector.nextFate(isWrite));
+      sendOutcome(response, body, injector.nextOutcome(isWrite));
     } catch (error) {
       if (!(error instanceof GatewayError)) throw error;
       sendError(response, error);
@@ -140,7 +140,7 @@
 function sendOutcome(
   response: Response,
   body: string,
-  outcome: ReturnType<FaultInjector['nextFate']>,
+  outcome: ReturnType<FaultInjector['nextOutcome']>,
 ): void {
   response.type('application/json');
   switch (outcome) {
--- a/test/soak/checks.test.ts
+++ b/test/soak/checks.test.ts
@@ -61,28 +61,28 @@
 /** Ledgers that break one guarantee each. */
 const VIOLATING_LEDGERS: readonly (readonly [guarantee: string, name: string, parts: Parts])[] = [
   [
-    'answers are whole and the own ones',
+    'callers get complete answers to their own requests',
     "another request's answer",
     { requests: [{ ...REQUEST, outcome: { type: 'answered', status: 200, body: 'answer to b' } }] },
   ],
-  ['nothing that may not repeat runs twice', 'two runs', { runs: [RUN, RUN] }],
+  ['non-idempotent requests run at most once', 'two runs', { runs: [RUN, RUN] }],
   [
-    'what is said not to have run has not',
+    'requests refused as not run were not run',
     'refused and run',
     { requests: [{ ...REQUEST, outcome: REFUSED }], runs: [RUN] },
   ],
   [
-    'planned work ends no request without an answer',
+    'planned stops and changes leave no request unanswered',
     'run and closed after a stop signal',
     { requests: [{ ...REQUEST, outcome: CLOSED }], runs: [RUN], disruptions: [{ ...STOP }] },
   ],
   [
-    'planned work ends no request without an answer',
+    'planned stops and changes leave no request unanswered',
     'read and closed, not run',
     { requests: [{ ...REQUEST, outcome: CLOSED, endedAt: 10_300 }] },
   ],
   [
-    'planned work ends no request without an answer',
+    'planned stops and changes leave no request unanswered',
     'accepted late in the stop and cut at its end',
     {
       requests: [{ ...REQUEST, outcome: CLOSED, sentAt: 12_500, endedAt: 14_300 }],
@@ -91,7 +91,7 @@
     },
   ],
   [
-    'routes that all versions have are known',
+    'routes in all versions of the rules are always found',
     'a 404',
     { requests: [{ ...REQUEST, outcome: { type: 'answered', status: 404, body: '' } }] },
   ],
@@ -113,37 +113,37 @@
     },
   ],
   [
-    'targets get no more time than is left',
+    'targets get no more time than the deadline leaves',
     'more time',
     { requests: [REQUEST], runs: [{ ...RUN, timeLeftMs: 3_600 }] },
   ],
   [
-    'targets get no more time than is left',
+    'targets get no more time than the deadline leaves',
     'no time at all',
     { requests: [REQUEST], runs: [{ ...RUN, timeLeftMs: undefined }] },
   ],
   [
-    'work whose caller has left ends',
+    'requests of disconnected callers are cancelled',
     'work goes on',
     { requests: [DISCONNECTED], runs: [{ ...RUN, endedAt: 12_000 }] },
   ],
   [
-    'processes end only when told to, and in time',
+    'processes exit only on request and within the grace period',
     'an unexpected exit',
     { exits: [{ ...EXIT, code: 1, expected: false, overdue: false }] },
   ],
   [
-    'processes end only when told to, and in time',
+    'processes exit only on request and within the grace period',
     'a reload that terminates the program',
     { exits: [{ ...EXIT, code: null, signal: 'SIGHUP', expected: false, overdue: false }] },
   ],
   [
-    'processes end only when told to, and in time',
+    'processes exit only on request and within the grace period',
     'a failed stop',
     { exits: [{ ...EXIT, code: 1, expected: true, overdue: false }] },
   ],
   [
-    'processes end only when told to, and in time',
+    'processes exit only on request and within the grace period',
     'a stop that takes longer than the grace period',
     { exits: [{ ...EXIT, code: null, signal: 'SIGKILL', expected: true, overdue: true }] },
   ],
--- a/test/soak/checks.ts
+++ b/test/soak/checks.ts
@@ -35,16 +35,16 @@
 
 /** The check of each guarantee, by name. */
 const CHECKS: Readonly<Record<string, Check>> = {
-  'answers are whole and the own ones': checkWhole,
-  'nothing that may not repeat runs twice': checkTwice,
-  'what is said not to have run has not': checkRefused,
-  'planned work ends no request without an answer': checkLost,
-  'routes that all versions have are known': checkKnown,
+  'callers get complete answers to their own requests': checkWhole,
+  'non-idempotent requests run at most once': checkTwice,
+  'requests refused as not run were not run': checkRefused,
+  'planned stops and changes leave no request unanswered': checkLost,
+  'routes in all versions of the rules are always found': checkKnown,
   'nothing runs at a target whose leave was acknowledged': checkLeaves,
   'a change of the rules is in force in time': checkRules,
-  'targets get no more time than is left': checkDeadlines,
-  'work whose caller has left ends': checkDisconnected,
-  'processes end only when told to, and in time': checkExits,
+  'targets get no more time than the deadline leaves': checkDeadlines,
+  'requests of disconnected callers are cancelled': checkDisconnected,
+  'processes exit only on request and within the grace period': checkExits,
   'no internal error': ({ internalErrors }) =>
     internalErrors.map((detail) => createViolation(detail)),
   'nodes serve again after the last fault': ({ notRecovered }) => notRecovered.map(createViolation),
