--- a/test/explain-failure.test.ts
+++ b/test/explain-failure.test.ts
@@ -71,7 +71,7 @@
   return (await sendRequest(machine.metrics, { path: '/metrics' })).body;
 }
 
-test('a request refused under load: its story has the code, the tried nodes and the rules version', async () => {
+test('a request refused under load: its story has its code and rules version and the tried nodes', async () => {
   const pendingAnswers: (() => void)[] = [];
   backEnd.target.behaviour = ({ attemptId }, response) => {
     pendingAnswers.push(() => response.writeHead(200, { 'X-Attempt-Id': attemptId }).end());
